--- a/packages/runtime/src/test/fixtures.ts
+++ b/packages/runtime/src/test/fixtures.ts
@@ -15,7 +15,7 @@
 };
 
 /** A view of callers' jobs to which nothing is ever added. */
-export const FRESH_JOBS = {
+export const UP_TO_DATE_JOBS = {
   get jobsFreshMs(): number {
     return steadyMs();
   },
--- a/packages/runtime/src/test/sound-workers.ts
+++ b/packages/runtime/src/test/healthy-workers.ts
@@ -5,7 +5,7 @@
 import { pause } from './wait.js';
 
 /** Workers that answer every renewal, after the wait that it asks for, and take every order. */
-export class SoundWorkers extends TaskWorkers {
+export class HealthyWorkers extends TaskWorkers {
   /** What runs on each worker; what is not here has nothing to do. */
   readonly running = new Map<string, RunningRow[]>();
 
--- a/packages/runtime/src/test/idle-worker_test.ts
+++ b/packages/runtime/src/test/idle-worker_test.ts
@@ -5,7 +5,7 @@
 import type { RenewRequest, RenewResult, WorkerAddress } from '../task-workers.js';
 import { WorkerLink } from '../internal/worker-link.js';
 import { WORKER_ENTRY } from './fixtures.js';
-import { SoundWorkers } from './sound-workers.js';
+import { HealthyWorkers } from './healthy-workers.js';
 import { pause } from './wait.js';
 
 const LEASE_MS = 6_000;
@@ -16,7 +16,7 @@
 const LATE_MS = 190;
 
 /** A worker on which nothing runs; its renewals are answered at once. */
-class IdleWorker extends SoundWorkers {
+class IdleWorker extends HealthyWorkers {
   readonly waitsMs: number[] = [];
 
   override async renew(worker: WorkerAddress, req: RenewRequest): Promise<RenewResult> {
--- a/packages/runtime/src/test/job-fixtures.ts
+++ b/packages/runtime/src/test/job-fixtures.ts
@@ -2,7 +2,7 @@
 import { JobProgress, PLAIN_STEP } from '@redwingcrank/jobs';
 
 /** A job with one task, which goes on until it is stopped. */
-export const LASTING_JOB: JobSpec = {
+export const LONG_RUNNING_JOB: JobSpec = {
   id: '00000000000000aa',
   queue: 'q',
   payload: 'p',
@@ -11,8 +11,8 @@
 };
 
 /** The progress of that job when it has just begun. */
-export function begunProgress(): JobProgress {
-  const progress = new JobProgress(LASTING_JOB);
+export function startedProgress(): JobProgress {
+  const progress = new JobProgress(LONG_RUNNING_JOB);
   progress.openDue(Date.now());
   progress.begin();
   return progress;
--- a/packages/runtime/src/test/job-service_test.ts
+++ b/packages/runtime/src/test/job-service_test.ts
@@ -11,12 +11,12 @@
 import type { WorkView } from '../job-service.js';
 import type { AppendResult, KeyedWrite } from '../keyed-log.js';
 import { NodeLog } from '../node-log.js';
-import { QuietLog } from './quiet-log.js';
-import { LASTING_JOB } from './job-fixtures.js';
+import { StaticLog } from './static-log.js';
+import { LONG_RUNNING_JOB } from './job-fixtures.js';
 import { leaderRecord } from './leader-record.js';
 
 /** Jobs are stored one append at a time, each when the test says so. */
-class HeldLog extends QuietLog {
+class HeldLog extends StaticLog {
   readonly appends: (readonly KeyedWrite[])[] = [];
 
   #settle: ((result: AppendResult) => void)[] = [];
@@ -81,7 +81,7 @@
   }
 
   submit(id: string, waitMs = 3_000): Promise<string> {
-    return this.#service.submit({ ...LASTING_JOB, id }, steadyMs() + waitMs);
+    return this.#service.submit({ ...LONG_RUNNING_JOB, id }, steadyMs() + waitMs);
   }
 }
 
@@ -128,7 +128,7 @@
   // Guards against jobs that are accepted and starve, against refusing what other room is there for,
   // and against telling a caller that a stored job has not run.
   const held = new HeldService();
-  const job = { ...LASTING_JOB, id: '00000000000000a1', steps: [PLAIN_STEP] };
+  const job = { ...LONG_RUNNING_JOB, id: '00000000000000a1', steps: [PLAIN_STEP] };
   assert.equal(held.refusalMs(job, 'full'), undefined);
   held.view.refuse({ [laneOf('full', false)]: 2_500 });
   assert.equal(held.refusalMs(job, 'full'), 2_500);
@@ -136,7 +136,7 @@
   const bestEffort = { ...PLAIN_STEP, fills: true };
   assert.equal(held.refusalMs({ ...job, steps: [bestEffort] }, 'full'), undefined);
   assert.equal(held.refusalMs({ ...job, steps: [bestEffort, PLAIN_STEP] }, 'full'), 2_500);
-  assert.equal(held.refusalMs(LASTING_JOB, 'full'), undefined);
+  assert.equal(held.refusalMs(LONG_RUNNING_JOB, 'full'), undefined);
 
   const stored = held.submit(job.id);
   held.log.answer('appended');
@@ -150,14 +150,14 @@
   const state = { isLeading: false, viewAgeMs: 0, jobs: new Map(), faults: [] };
   const metrics = new NodeMetrics(held.nodeLog, () => state);
   held.view.refuse({ [laneOf('full', false)]: 2_500 });
-  held.refusalMs({ ...LASTING_JOB, steps: [PLAIN_STEP] }, 'full');
+  held.refusalMs({ ...LONG_RUNNING_JOB, steps: [PLAIN_STEP] }, 'full');
   assert.match(await metrics.text(), /submit_duration_seconds_count\{outcome="not-run"\} 1/);
 });
 
 test('a scheduling node that has fallen silent keeps no job out', (t) => {
   // Guards against refusals that go on after the crowd, as nobody says that it is over.
   const held = new HeldService();
-  const job = { ...LASTING_JOB, steps: [PLAIN_STEP] };
+  const job = { ...LONG_RUNNING_JOB, steps: [PLAIN_STEP] };
   held.view.refuse({ [laneOf('full', false)]: 2_500 });
   const nowMs = performance.now();
   t.mock.method(performance, 'now', () => nowMs + 2_000);
--- a/packages/runtime/src/test/late-start_test.ts
+++ b/packages/runtime/src/test/late-start_test.ts
@@ -9,16 +9,16 @@
 import { WorkTable } from '../internal/work-table.js';
 import { CONFIG } from './config-fixtures.js';
 import { WORKER_ENTRY } from './fixtures.js';
-import { LASTING_JOB } from './job-fixtures.js';
+import { LONG_RUNNING_JOB } from './job-fixtures.js';
 import { MemoryLog } from './memory-log.js';
 import { platformPort } from './port-fixtures.js';
-import { QuietLog } from './quiet-log.js';
+import { StaticLog } from './static-log.js';
 import { RunningTerm } from './running-term.js';
-import { SoundWorkers } from './sound-workers.js';
-import { pause, until } from './wait.js';
+import { HealthyWorkers } from './healthy-workers.js';
+import { pause, waitUntil } from './wait.js';
 
 /** A log whose appends of some records wait until they are let through. */
-class HeldLog extends QuietLog {
+class HeldLog extends StaticLog {
   readonly #isHeld: (write: KeyedWrite) => boolean;
 
   #let: () => void = () => {};
@@ -48,7 +48,7 @@
 }
 
 /** Workers that tell which starts have reached them. */
-class StartedWorkers extends SoundWorkers {
+class StartedWorkers extends HealthyWorkers {
   readonly started: string[] = [];
 
   override async order(_worker: unknown, { kind, worker }: Order): Promise<OrderResult> {
@@ -57,9 +57,9 @@
   }
 }
 
-const { id: ID } = LASTING_JOB;
+const { id: ID } = LONG_RUNNING_JOB;
 
-const JOB = { ...LASTING_JOB, steps: [{ ...PLAIN_STEP, cpuMilli: 1_000 }] };
+const JOB = { ...LONG_RUNNING_JOB, steps: [{ ...PLAIN_STEP, cpuMilli: 1_000 }] };
 
 let workLog: HeldLog;
 
@@ -80,7 +80,7 @@
 async function startedOnceStored(): Promise<readonly string[]> {
   await pause(600);
   workLog.letThrough();
-  await until(() => workers.started.length > 0);
+  await waitUntil(() => workers.started.length > 0);
   await pause(100);
   return workers.started;
 }
@@ -94,7 +94,7 @@
   const port = platformPort({
     workLog,
     workerLog,
-    operatorLog: new QuietLog([{ key: 'config', value: 'x' }]),
+    operatorLog: new StaticLog([{ key: 'config', value: 'x' }]),
     workers,
     decodeWorker: ({ value }) => ({ value: JSON.parse(value!) as WorkerEntry }),
     decodeConfig: () => ({ value: CONFIG }),
@@ -106,7 +106,7 @@
     workLog.letThrough();
     await term.stop();
   };
-  await until(() => workLog.heldCount > 0);
+  await waitUntil(() => workLog.heldCount > 0);
 });
 
 afterEach(() => stop());
--- a/packages/runtime/src/test/leader-term_test.ts
+++ b/packages/runtime/src/test/leader-term_test.ts
@@ -10,10 +10,10 @@
 import { steadyMs } from '../internal/delay.js';
 import { encodeLeader, leaderKey } from '../internal/work-records.js';
 import { WorkTable } from '../internal/work-table.js';
-import { FRESH_JOBS, nodeSettings } from './fixtures.js';
+import { UP_TO_DATE_JOBS, nodeSettings } from './fixtures.js';
 import { leaderRecord } from './leader-record.js';
 import { platformPort } from './port-fixtures.js';
-import { QuietLog } from './quiet-log.js';
+import { StaticLog } from './static-log.js';
 import { pause } from './wait.js';
 
 class NoWorkers extends TaskWorkers {
@@ -36,7 +36,7 @@
   // The node was frozen just after its claim was stored. When it goes on, it reads its own claim
   // and that of the node which has replaced it in one answer. Scheduling for a moment would renew
   // leases that the other one, which counts them from an earlier time, takes to be over soon.
-  const workLog = new QuietLog();
+  const workLog = new StaticLog();
   const port = platformPort({
     workLog,
     workers: new NoWorkers(),
@@ -57,7 +57,7 @@
     settings: SETTINGS,
     log: LOG,
     table,
-    work: FRESH_JOBS,
+    work: UP_TO_DATE_JOBS,
     config,
   });
   const late = setTimeout(() => term.stop(), 1_000);
@@ -70,12 +70,12 @@
   // The store carried the claim out seconds after it was sent. Counted from when it was read, the
   // node would renew leases for longer than a later one, which counts from the record, waits.
   const sentMs = steadyMs() - 5_000;
-  const writer = new LeaderWriter(new QuietLog(), LOG, { epoch: 1, sequence: 7, sentMs });
+  const writer = new LeaderWriter(new StaticLog(), LOG, { epoch: 1, sequence: 7, sentMs });
   assert.equal(writer.confirmedMs, sentMs);
 });
 
 /** Carries appends out; the answer to the first one comes late and is given up. */
-class FirstAnswerLost extends QuietLog {
+class FirstAnswerLost extends StaticLog {
   #isFirst = true;
 
   override async append(records: readonly KeyedWrite[]): Promise<AppendResult> {
@@ -98,7 +98,7 @@
 });
 
 /** Carries appends out, and answers the first one never; the next numbers go on from a claim's. */
-class NeverAnswered extends QuietLog {
+class NeverAnswered extends StaticLog {
   readonly sequences: number[] = [];
 
   override async append(
--- a/packages/runtime/src/test/leader-watch_test.ts
+++ b/packages/runtime/src/test/leader-watch_test.ts
@@ -25,13 +25,13 @@
 async function startFleet(time: VirtualTime, wayMs = 5): Promise<[VirtualFleet, VirtualNode]> {
   const fleet = new VirtualFleet(time, true);
   const leader = fleet.add('first', LARGE);
-  await time.until(() => leader.isLeading, 5_000);
+  await time.advanceUntil(() => leader.isLeading, 5_000);
   await fleet.addMany([...Array<number>(3).fill(LARGE), ...Array<number>(9).fill(SMALL)]);
-  await time.pass(2_000);
-  fleet.store.wayMs = wayMs;
-  await time.pass(4_000 + time.draw(500));
+  await time.advance(2_000);
+  fleet.store.oneWayMs = wayMs;
+  await time.advance(4_000 + time.randomInt(500));
   assert.ok(leader.isLeading);
-  fleet.store.claims = 0;
+  fleet.store.claimCount = 0;
   return [fleet, leader];
 }
 
@@ -39,7 +39,7 @@
 async function untilLed(fleet: VirtualFleet): Promise<number> {
   const { time } = fleet;
   const sinceMs = time.nowMs;
-  await time.until(() => fleet.leading !== undefined, 10_000);
+  await time.advanceUntil(() => fleet.leader !== undefined, 10_000);
   return time.nowMs - sinceMs;
 }
 
@@ -56,10 +56,10 @@
       leader.kill();
       const tookMs = await untilLed(fleet);
       assert.ok(tookMs <= withinMs, `seed ${seed}: ${tookMs} ms`);
-      assert.equal(fleet.leading?.cores, LARGE);
-      await time.pass(3_000);
+      assert.equal(fleet.leader?.cores, LARGE);
+      await time.advance(3_000);
       // The node that the leader has named claims; others wait until its claim shows.
-      assert.equal(fleet.store.claims, 1, `seed ${seed}`);
+      assert.equal(fleet.store.claimCount, 1, `seed ${seed}`);
       await fleet.stop();
     }
   });
@@ -96,12 +96,12 @@
   const time = new VirtualTime(t);
   const [fleet, leader] = await startFleet(time);
   leader.peers!.reset();
-  await time.pass(3_000);
-  leader.peers!.reach = 'silent';
+  await time.advance(3_000);
+  leader.peers!.reachability = 'silent';
   leader.peers!.reset();
-  await time.pass(10_000);
+  await time.advance(10_000);
   assert.ok(leader.isLeading);
-  assert.equal(fleet.store.claims, 0);
+  assert.equal(fleet.store.claimCount, 0);
   await fleet.stop();
 });
 
@@ -110,11 +110,11 @@
   const time = new VirtualTime(t);
   const [fleet] = await startFleet(time);
   for (const { peers } of fleet.nodes) {
-    peers!.reach = 'refused';
+    peers!.reachability = 'refused';
     peers!.reset();
   }
-  await time.pass(30_000);
-  assert.ok(fleet.store.claims <= 1, `${fleet.store.claims} claims`);
-  assert.notEqual(fleet.leading, undefined);
+  await time.advance(30_000);
+  assert.ok(fleet.store.claimCount <= 1, `${fleet.store.claimCount} claims`);
+  assert.notEqual(fleet.leader, undefined);
   await fleet.stop();
 });
--- a/packages/runtime/src/test/many-stops_test.ts
+++ b/packages/runtime/src/test/many-stops_test.ts
@@ -54,7 +54,7 @@
 
   readonly pacing = new RoundPacing(this.stopping.signal, ({ task }) => {
     const orderMs = this.#orderMs();
-    this.#time.spend(orderMs);
+    this.#time.block(orderMs);
     this.spentMs += orderMs;
     this.tookMs = this.#time.nowMs - this.#beganMs;
     this.indexes.push(task.index);
@@ -63,7 +63,7 @@
   });
 
   async end(ms = 3 * STOPS * ORDER_MS): Promise<void> {
-    await this.#time.pass(ms);
+    await this.#time.advance(ms);
     this.stopping.abort();
   }
 }
--- a/packages/runtime/src/test/many-waiting_test.ts
+++ b/packages/runtime/src/test/many-waiting_test.ts
@@ -12,9 +12,9 @@
 import { CONFIG } from './config-fixtures.js';
 import { WORKER_ENTRY } from './fixtures.js';
 import { platformPort } from './port-fixtures.js';
-import { QuietLog } from './quiet-log.js';
+import { StaticLog } from './static-log.js';
 import { RunningTerm } from './running-term.js';
-import { SoundWorkers } from './sound-workers.js';
+import { HealthyWorkers } from './healthy-workers.js';
 import { pause } from './wait.js';
 
 const WORKERS = 100;
@@ -63,7 +63,7 @@
 }
 
 /** A log whose appends count as signs of life. */
-class CountedLog extends QuietLog {
+class CountedLog extends StaticLog {
   readonly #signs: Signs;
 
   constructor(signs: Signs) {
@@ -78,7 +78,7 @@
 }
 
 /** Workers that run whatever they are told to, and answer after the wait that they are asked for. */
-class CountedWorkers extends SoundWorkers {
+class CountedWorkers extends HealthyWorkers {
   readonly #renewals: Signs;
 
   constructor(renewals: Signs) {
@@ -143,8 +143,8 @@
   const ids = Array.from({ length: WORKERS }, (_, i) => `w${i}`);
   const port = platformPort({
     workLog: new CountedLog(records),
-    workerLog: new QuietLog(ids.map((key) => ({ key, value: 'x' }))),
-    operatorLog: new QuietLog([{ key: 'config', value: 'x' }]),
+    workerLog: new StaticLog(ids.map((key) => ({ key, value: 'x' }))),
+    operatorLog: new StaticLog([{ key: 'config', value: 'x' }]),
     workers,
     decodeWorker: ({ key }) => ({ value: countedEntry(key, looks) }),
     decodeConfig: () => ({ value: CONFIG }),
--- a/packages/runtime/src/test/memory-log.ts
+++ b/packages/runtime/src/test/memory-log.ts
@@ -14,7 +14,7 @@
   readonly records: KeyedRecord[] = [];
 
   /** While set, reads are not answered. */
-  isHeld = false;
+  isBlocked = false;
 
   override async append(records: readonly KeyedWrite[]): Promise<AppendResult> {
     this.records.push(...records);
@@ -23,13 +23,13 @@
 
   override async read(from: number, waitMs: number): Promise<ReadResult> {
     const endMs = steadyMs() + waitMs;
-    while (this.isHeld || (this.records.length <= from && steadyMs() < endMs)) await pause(5);
+    while (this.isBlocked || (this.records.length <= from && steadyMs() < endMs)) await pause(5);
     const end = this.records.length;
     return { records: this.records.slice(from), next: end, end, asOfMs: steadyMs() };
   }
 
   override async newest(_after = ''): Promise<NewestPage> {
-    while (this.isHeld) await pause(5);
+    while (this.isBlocked) await pause(5);
     const newest = new Map(this.records.map((rec) => [rec.key, rec]));
     const records = [...newest.values()].filter(({ value }) => value !== undefined);
     return { records, hasMore: false, end: this.records.length };
--- a/packages/runtime/src/test/new-term_test.ts
+++ b/packages/runtime/src/test/new-term_test.ts
@@ -9,12 +9,12 @@
 import { encodeJob } from '../internal/job-record.js';
 import { encodeLeader, jobKey, leaderKey, progressKey } from '../internal/work-records.js';
 import { WorkTable } from '../internal/work-table.js';
-import { FRESH_JOBS, WORKER_ENTRY, nodeSettings } from './fixtures.js';
-import { LASTING_JOB, begunProgress } from './job-fixtures.js';
+import { UP_TO_DATE_JOBS, WORKER_ENTRY, nodeSettings } from './fixtures.js';
+import { LONG_RUNNING_JOB, startedProgress } from './job-fixtures.js';
 import { leaderRecord } from './leader-record.js';
 import { platformPort } from './port-fixtures.js';
-import { QuietLog } from './quiet-log.js';
-import { SoundWorkers } from './sound-workers.js';
+import { StaticLog } from './static-log.js';
+import { HealthyWorkers } from './healthy-workers.js';
 import { pause } from './wait.js';
 
 /** What a store that is a hundred times slower than usual takes for an append, in milliseconds. */
@@ -27,7 +27,7 @@
 const PROMPT_MS = 300;
 
 /** A log of a slow store, with these records. */
-class SlowLog extends QuietLog {
+class SlowLog extends StaticLog {
   override async append(records: readonly KeyedWrite[]): Promise<AppendResult> {
     await pause(APPEND_MS);
     return super.append(records);
@@ -40,7 +40,7 @@
 }
 
 /** A worker that answers every renewal, after the wait that it is asked for. */
-class OneWorker extends SoundWorkers {
+class OneWorker extends HealthyWorkers {
   /** When it has first answered. */
   answeredMs = 0;
 
@@ -49,7 +49,7 @@
 
   constructor() {
     super();
-    const task = `${LASTING_JOB.id}.0.0.0`;
+    const task = `${LONG_RUNNING_JOB.id}.0.0.0`;
     this.running.set(WORKER_ENTRY.id, [{ task, run: 1, checkpoint: '', percent: 100, measure: 0 }]);
   }
 
@@ -65,12 +65,12 @@
 
 /** What the work log says of a job whose one task runs on the worker. */
 function tableOfRunningJob(): WorkTable {
-  const job = begunProgress();
+  const job = startedProgress();
   const [first] = job.occurrences.values();
   Object.assign(first!.steps[0]![0]!, { phase: 'bound', run: 1, worker: WORKER_ENTRY.id });
   const table = new WorkTable('n1');
-  table.apply({ key: jobKey(LASTING_JOB.id), value: encodeJob(LASTING_JOB) });
-  table.apply({ key: progressKey(LASTING_JOB.id), value: job.encode() });
+  table.apply({ key: jobKey(LONG_RUNNING_JOB.id), value: encodeJob(LONG_RUNNING_JOB) });
+  table.apply({ key: progressKey(LONG_RUNNING_JOB.id), value: job.encode() });
   return table;
 }
 
@@ -98,7 +98,7 @@
     settings: SETTINGS,
     log,
     table,
-    work: FRESH_JOBS,
+    work: UP_TO_DATE_JOBS,
     config,
   });
   const running = term.run();
--- a/packages/runtime/src/test/port-fixtures.ts
+++ b/packages/runtime/src/test/port-fixtures.ts
@@ -1,16 +1,16 @@
 import type { PlatformPort } from '../platform-port.js';
 import { WORKER_ENTRY } from './fixtures.js';
-import { QuietLog } from './quiet-log.js';
-import { SoundWorkers } from './sound-workers.js';
+import { StaticLog } from './static-log.js';
+import { HealthyWorkers } from './healthy-workers.js';
 
 /** A platform on which nothing is stored, but for the parts that a test brings. */
 export function platformPort(parts: Partial<PlatformPort>): PlatformPort {
   return {
-    workLog: new QuietLog(),
-    jobLog: new QuietLog(),
-    workerLog: new QuietLog(),
-    operatorLog: new QuietLog(),
-    workers: new SoundWorkers(),
+    workLog: new StaticLog(),
+    jobLog: new StaticLog(),
+    workerLog: new StaticLog(),
+    operatorLog: new StaticLog(),
+    workers: new HealthyWorkers(),
     workerIdOf: ({ key }) => key,
     decodeWorker: () => ({ value: WORKER_ENTRY }),
     decodeConfig: () => undefined,
--- a/packages/runtime/src/test/prefetched-log_test.ts
+++ b/packages/runtime/src/test/prefetched-log_test.ts
@@ -3,10 +3,10 @@
 import { PrefetchedLog } from '../internal/prefetched-log.js';
 import type { NewestPage } from '../keyed-log.js';
 import { StoreUnavailableError } from '../keyed-log.js';
-import { QuietLog } from './quiet-log.js';
+import { StaticLog } from './static-log.js';
 
 /** Counts the pages that are asked for, and fails the first if it is to. */
-class CountedLog extends QuietLog {
+class CountedLog extends StaticLog {
   asked = 0;
 
   failsFirst = false;
--- a/packages/runtime/src/test/running-term.ts
+++ b/packages/runtime/src/test/running-term.ts
@@ -6,7 +6,7 @@
 import { LeaderTerm } from '../internal/leader-term.js';
 import { encodeLeader, leaderKey } from '../internal/work-records.js';
 import type { WorkTable } from '../internal/work-table.js';
-import { FRESH_JOBS, nodeSettings } from './fixtures.js';
+import { UP_TO_DATE_JOBS, nodeSettings } from './fixtures.js';
 import { leaderRecord } from './leader-record.js';
 
 /** The term of node `n1`, which has just read its claim, and the configuration that it follows. */
@@ -17,7 +17,7 @@
 
   readonly #running: Promise<void>;
 
-  constructor(port: PlatformPort, table: WorkTable, work = FRESH_JOBS) {
+  constructor(port: PlatformPort, table: WorkTable, work = UP_TO_DATE_JOBS) {
     const record = leaderRecord();
     table.apply({ key: leaderKey(), value: encodeLeader(record) });
     const log = new NodeLog('n1', 'silent');
--- a/packages/runtime/src/test/sized-takeover_test.ts
+++ b/packages/runtime/src/test/sized-takeover_test.ts
@@ -95,23 +95,23 @@
 /** The present leader dies; who goes on, and after how long. */
 async function leaderDies(fleet: VirtualFleet, tally: Tally): Promise<void> {
   const { time, store } = fleet;
-  const dead = fleet.leading!;
-  dead.die();
-  store.claims = 0;
+  const dead = fleet.leader!;
+  dead.losePower();
+  store.claimCount = 0;
   const sinceMs = time.nowMs;
-  await time.until(() => fleet.leading !== undefined, 10_000);
+  await time.advanceUntil(() => fleet.leader !== undefined, 10_000);
   const tookMs = time.nowMs - sinceMs;
-  await time.pass(500);
-  tally.note(fleet.leading, tookMs, store.claims);
+  await time.advance(500);
+  tally.note(fleet.leader, tookMs, store.claimCount);
 }
 
 test('while large nodes live one of them takes the role over from a dead leader', async (t) => {
   const tally = await takeovers(t, async (fleet, count) => {
     // A leader before all others, so that these see a large one that dies.
     fleet.add('first', LARGE);
-    await fleet.time.until(() => fleet.leading !== undefined, 5_000);
+    await fleet.time.advanceUntil(() => fleet.leader !== undefined, 5_000);
     await fleet.addMany(sizes(3, 9));
-    await fleet.time.pass(2_000 + fleet.time.draw(500));
+    await fleet.time.advance(2_000 + fleet.time.randomInt(500));
     await leaderDies(fleet, count);
   });
   assert.equal(tally.byOthers, 0);
@@ -123,11 +123,11 @@
   // store, from the end of which the leader's silence was counted anew: nobody ever claimed.
   const tally = await takeovers(t, async (fleet, count) => {
     fleet.add('first', LARGE);
-    await fleet.time.until(() => fleet.leading !== undefined, 5_000);
+    await fleet.time.advanceUntil(() => fleet.leader !== undefined, 5_000);
     await fleet.addMany(sizes(3, 9));
-    fleet.store.wayMs = 150;
-    await fleet.time.pass(6_000 + fleet.time.draw(500));
-    assert.equal(fleet.leading?.name, 'first');
+    fleet.store.oneWayMs = 150;
+    await fleet.time.advance(6_000 + fleet.time.randomInt(500));
+    assert.equal(fleet.leader?.name, 'first');
     await leaderDies(fleet, count);
   });
   assert.ok(tally.worstMs <= SLOW_GOES_ON_MS, `${tally.worstMs}`);
@@ -138,11 +138,11 @@
   // it believes the silence. A lost connection tells it nothing here.
   const tally = await takeovers(t, async (fleet, count) => {
     fleet.add('first', LARGE);
-    await fleet.time.until(() => fleet.leading !== undefined, 5_000);
+    await fleet.time.advanceUntil(() => fleet.leader !== undefined, 5_000);
     await fleet.addMany(sizes(3, 9));
-    fleet.store.wayMs = 300;
-    await fleet.time.pass(10_000 + fleet.time.draw(1_000));
-    assert.equal(fleet.leading?.name, 'first');
+    fleet.store.oneWayMs = 300;
+    await fleet.time.advance(10_000 + fleet.time.randomInt(1_000));
+    assert.equal(fleet.leader?.name, 'first');
     await leaderDies(fleet, count);
   });
   assert.ok(tally.worstMs <= VERY_SLOW_GOES_ON_MS, `${tally.worstMs}`);
@@ -151,9 +151,9 @@
 test('where only small nodes live one of them takes over hardly later', async (t) => {
   const tally = await takeovers(t, async (fleet, count) => {
     fleet.add('first', LARGE);
-    await fleet.time.until(() => fleet.leading !== undefined, 5_000);
+    await fleet.time.advanceUntil(() => fleet.leader !== undefined, 5_000);
     await fleet.addMany(sizes(0, 9));
-    await fleet.time.pass(2_000 + fleet.time.draw(500));
+    await fleet.time.advance(2_000 + fleet.time.randomInt(500));
     await leaderDies(fleet, count);
   });
   assert.ok(tally.worstMs <= SMALL_GOES_ON_MS, `${tally.worstMs}`);
@@ -163,25 +163,25 @@
   const tally = await takeovers(t, async (fleet, count) => {
     const { time, store } = fleet;
     await fleet.addMany(sizes(3, 9));
-    await time.until(() => fleet.leading !== undefined, 5_000);
-    await time.pass(300);
-    count.note(fleet.leading, 0, store.claims);
+    await time.advanceUntil(() => fleet.leader !== undefined, 5_000);
+    await time.advance(300);
+    count.note(fleet.leader, 0, store.claimCount);
     // A small node took the role while no large one was there, dies, and starts again at once.
     const epoch = store.leader!.epoch + 1;
     const back = fleet.nodes.find(({ cores }) => cores === SMALL)!;
-    for (const node of fleet.nodes) if (node.isLeading) node.die();
-    back.die();
+    for (const node of fleet.nodes) if (node.isLeading) node.losePower();
+    back.losePower();
     const rec = {
       ...{ epoch, node: back.name, nonce: 'b', resigned: false, leasesMs: 6_000, formerMs: 0 },
       ...{ silent: {}, number: 1, cores: SMALL, largestCores: LARGE },
     };
     store.put(leaderKey(), JSON.stringify(rec));
-    store.claims = 0;
-    await time.pass(500);
+    store.claimCount = 0;
+    await time.advance(500);
     const sinceMs = time.nowMs;
     fleet.add(back.name, SMALL);
-    await time.until(() => fleet.leading !== undefined, POWER_BACK_MS);
-    count.note(fleet.leading, time.nowMs - sinceMs, store.claims);
+    await time.advanceUntil(() => fleet.leader !== undefined, POWER_BACK_MS);
+    count.note(fleet.leader, time.nowMs - sinceMs, store.claimCount);
   });
   assert.equal(tally.byOthers, 0);
 });
@@ -196,8 +196,8 @@
     store.put(leaderKey(), JSON.stringify(rec));
     const sinceMs = time.nowMs;
     await fleet.addMany(sizes(0, 9));
-    await time.until(() => fleet.leading !== undefined, 10_000);
-    count.note(fleet.leading, time.nowMs - sinceMs, store.claims);
+    await time.advanceUntil(() => fleet.leader !== undefined, 10_000);
+    count.note(fleet.leader, time.nowMs - sinceMs, store.claimCount);
   });
   assert.ok(tally.worstMs <= POWER_BACK_MS, `${tally.worstMs}`);
 });
@@ -206,15 +206,15 @@
   const tally = await takeovers(t, async (fleet, count) => {
     const { time, store } = fleet;
     await fleet.addMany(sizes(0, 4));
-    await time.until(() => fleet.leading !== undefined, 5_000);
-    await time.pass(1_000);
+    await time.advanceUntil(() => fleet.leader !== undefined, 5_000);
+    await time.advance(1_000);
     await fleet.addMany(sizes(2, 0));
     const sinceMs = time.nowMs;
-    store.claims = 0;
-    await time.until(() => fleet.leading?.cores === LARGE, 30_000);
+    store.claimCount = 0;
+    await time.advanceUntil(() => fleet.leader?.cores === LARGE, 30_000);
     const tookMs = time.nowMs - sinceMs;
-    await time.pass(5_000);
-    count.note(fleet.leading, tookMs, store.claims);
+    await time.advance(5_000);
+    count.note(fleet.leader, tookMs, store.claimCount);
   });
   assert.equal(tally.byOthers, 0);
 });
--- a/packages/runtime/src/test/slow-list_test.ts
+++ b/packages/runtime/src/test/slow-list_test.ts
@@ -8,16 +8,16 @@
 import { FaultLog } from '../internal/fault-log.js';
 import { StartViews } from '../internal/start-views.js';
 import { WorkerList } from '../internal/worker-list.js';
-import { FRESH_JOBS, nodeSettings } from './fixtures.js';
+import { UP_TO_DATE_JOBS, nodeSettings } from './fixtures.js';
 import { platformPort } from './port-fixtures.js';
-import { QuietLog } from './quiet-log.js';
-import { pause, until } from './wait.js';
+import { StaticLog } from './static-log.js';
+import { pause, waitUntil } from './wait.js';
 
 /** What each call to the store takes, in milliseconds. */
 const CALL_MS = 600;
 
 /** A log in which nothing happens, at a store that takes its time for each call. */
-class SlowLog extends QuietLog {
+class SlowLog extends StaticLog {
   override async read(from: number, waitMs: number): Promise<ReadResult> {
     const sentMs = steadyMs();
     await pause(waitMs + CALL_MS);
@@ -41,13 +41,13 @@
   const config = new ConfigWatch(port, log);
   const list = new WorkerList(port, log, config, scheduler, () => {}, new FaultLog(log));
   const { signal } = new AbortController();
-  const views = new StartViews(list, FRESH_JOBS, nodeSettings('n1'), signal);
+  const views = new StartViews(list, UP_TO_DATE_JOBS, nodeSettings('n1'), signal);
   const running = list.run();
   t.after(async () => {
     list.stop();
     await running;
   });
-  await until(() => views.windowMs(steadyMs()) > 0);
+  await waitUntil(() => views.windowMs(steadyMs()) > 0);
   let closedMs = 0;
   for (const endMs = steadyMs() + 6_000; steadyMs() < endMs; await pause(10)) {
     if (views.windowMs(steadyMs()) === 0) closedMs += 10;
--- a/packages/runtime/src/test/stale-views_test.ts
+++ b/packages/runtime/src/test/stale-views_test.ts
@@ -9,13 +9,13 @@
 import { WorkTable } from '../internal/work-table.js';
 import { CONFIG } from './config-fixtures.js';
 import { WORKER_ENTRY } from './fixtures.js';
-import { LASTING_JOB } from './job-fixtures.js';
+import { LONG_RUNNING_JOB } from './job-fixtures.js';
 import { MemoryLog } from './memory-log.js';
 import { platformPort } from './port-fixtures.js';
-import { QuietLog } from './quiet-log.js';
+import { StaticLog } from './static-log.js';
 import { RunningTerm } from './running-term.js';
-import { SoundWorkers } from './sound-workers.js';
-import { pause, until } from './wait.js';
+import { HealthyWorkers } from './healthy-workers.js';
+import { pause, waitUntil } from './wait.js';
 
 /** So long after a worker has said that it leaves a task may still begin there, in milliseconds. */
 const DRAIN_MS = 2_000;
@@ -31,7 +31,7 @@
 }
 
 /** Workers that note which starts reach them. */
-class NotingWorkers extends SoundWorkers {
+class NotingWorkers extends HealthyWorkers {
   readonly starts: SentStart[] = [];
 
   override async order(
@@ -93,7 +93,7 @@
   const table = new WorkTable('n1');
   const port = platformPort({
     workerLog,
-    operatorLog: new QuietLog([{ key: 'config', value: 'x' }]),
+    operatorLog: new StaticLog([{ key: 'config', value: 'x' }]),
     workers,
     decodeWorker: ({ value }) => ({ value: JSON.parse(value!) as WorkerEntry }),
     decodeConfig: () => ({ value: CONFIG }),
@@ -104,15 +104,15 @@
   callers = setInterval(() => {
     count += 1;
     const id = `${count}`.padStart(16, '0');
-    const job = { ...LASTING_JOB, id, steps: [{ ...PLAIN_STEP, cpuMilli: 100 }] };
+    const job = { ...LONG_RUNNING_JOB, id, steps: [{ ...PLAIN_STEP, cpuMilli: 100 }] };
     table.apply({ key: jobKey(id), value: encodeJob(job) });
   }, JOB_GAP_MS);
-  await until(() => workers.starts.length > 2);
+  await waitUntil(() => workers.starts.length > 2);
 });
 
 afterEach(async () => {
   clearInterval(callers);
-  workerLog.isHeld = false;
+  workerLog.isBlocked = false;
   await term.stop();
 });
 
@@ -121,15 +121,15 @@
   // A worker says that it leaves. Callers hand jobs in all the while; their tasks began on that worker
   // for as long as the reads stayed without an answer, and were lost with it: the node went by a list
   // whose age it did not ask for. Proof: the latest start could take effect 2.4 s after the bound.
-  workerLog.isHeld = true;
+  workerLog.isBlocked = true;
   const saidMs = steadyMs();
   list({ id: 'w1', draining: true, remainingMs: 5_000 });
   list({ id: 'w2' });
   await pause(DRAIN_MS + 1_000);
   const lateMs = latestMs('w1') - (saidMs + DRAIN_MS);
   assert.ok(lateMs < 0, `a start may take effect ${lateMs} ms too late`);
-  workerLog.isHeld = false;
-  await until(() => workers.starts.some(({ worker }) => worker === 'w2'));
+  workerLog.isBlocked = false;
+  await waitUntil(() => workers.starts.some(({ worker }) => worker === 'w2'));
 });
 
 test('no task begins long after its job may have been cancelled', async () => {
@@ -142,5 +142,5 @@
   assert.ok(lateMs < 0, `a start may take effect ${lateMs} ms too late`);
   const before = workers.starts.length;
   jobs.release();
-  await until(() => workers.starts.length > before);
+  await waitUntil(() => workers.starts.length > before);
 });
--- a/packages/runtime/src/test/quiet-log.ts
+++ b/packages/runtime/src/test/static-log.ts
@@ -4,7 +4,7 @@
 import { pause } from './wait.js';
 
 /** A log that has these records and takes every append; nothing more is ever read there. */
-export class QuietLog extends KeyedLog {
+export class StaticLog extends KeyedLog {
   readonly #records: NewestPage['records'];
 
   /** What was appended. */
--- a/packages/runtime/src/test/unread-jobs_test.ts
+++ b/packages/runtime/src/test/unread-jobs_test.ts
@@ -11,7 +11,7 @@
 import { WorkFollower } from '../internal/work-follower.js';
 import { WorkTable } from '../internal/work-table.js';
 import { nodeSettings } from './fixtures.js';
-import { LASTING_JOB, begunProgress } from './job-fixtures.js';
+import { LONG_RUNNING_JOB, startedProgress } from './job-fixtures.js';
 import { MemoryLog } from './memory-log.js';
 import { platformPort } from './port-fixtures.js';
 import { pause } from './wait.js';
@@ -66,8 +66,8 @@
   async follow(): Promise<void> {
     this.#running.push(this.#work.run());
     while (!this.#work.isLoaded) await pause(5);
-    this.jobLog.isHeld = true;
-    const progress = { key: progressKey(LASTING_JOB.id), value: begunProgress().encode() };
+    this.jobLog.isBlocked = true;
+    const progress = { key: progressKey(LONG_RUNNING_JOB.id), value: startedProgress().encode() };
     await this.workLog.append([progress]);
     while (!this.#table.hasEarlyProgress) await pause(5);
   }
@@ -79,8 +79,8 @@
   }
 
   async stop(): Promise<void> {
-    this.workLog.isHeld = false;
-    this.jobLog.isHeld = false;
+    this.workLog.isBlocked = false;
+    this.jobLog.isBlocked = false;
     await this.leadership.stop();
     this.#work.stop();
     await Promise.all(this.#running);
@@ -112,9 +112,9 @@
     return MemoryLog.prototype.append.call(workLog, records);
   };
   workLog.newest = async (after) => {
-    while (workLog.isHeld) await pause(5);
+    while (workLog.isBlocked) await pause(5);
     workLog.isExpired = false;
-    workLog.isHeld = after === '';
+    workLog.isBlocked = after === '';
     return { records: workLog.records.slice(-1), hasMore: after === '', end: 2 };
   };
   await node.lead();
@@ -128,9 +128,9 @@
   // anew, and reads the job before the page with its progress. As a new job it would be started once
   // more if this node scheduled.
   const table = new WorkTable('n1');
-  const { id } = LASTING_JOB;
-  table.apply({ key: progressKey(id), value: begunProgress().encode() });
+  const { id } = LONG_RUNNING_JOB;
+  table.apply({ key: progressKey(id), value: startedProgress().encode() });
   table.reset();
-  table.apply({ key: jobKey(id), value: encodeJob(LASTING_JOB) });
+  table.apply({ key: jobKey(id), value: encodeJob(LONG_RUNNING_JOB) });
   assert.equal(table.jobs.get(id)?.state, 'running');
 });
--- a/packages/runtime/src/test/virtual-fleet.ts
+++ b/packages/runtime/src/test/virtual-fleet.ts
@@ -20,7 +20,7 @@
 import { NodeLog } from '../node-log.js';
 import { nodeSettings } from './fixtures.js';
 import { platformPort } from './port-fixtures.js';
-import { QuietLog } from './quiet-log.js';
+import { StaticLog } from './static-log.js';
 import { VirtualNetwork, VirtualPeers } from './virtual-peers.js';
 
 /** Waiting reads look for a new record so often, in milliseconds. */
@@ -56,7 +56,7 @@
     mock.method(globalThis, 'setTimeout', wait as unknown as typeof setTimeout);
     mock.method(globalThis, 'clearTimeout', (timer: unknown) => this.#remove(timer));
     mock.method(performance, 'now', () => this.#nowMs);
-    mock.method(crypto, 'randomInt', (below: number) => this.draw(below));
+    mock.method(crypto, 'randomInt', (below: number) => this.randomInt(below));
     syncBuiltinESMExports();
     context.after(() => {
       mock.restoreAll();
@@ -72,22 +72,22 @@
   seed(seed: number): void {
     this.#state = seed % DRAW_PRIME;
     // The first draws of neighbouring seeds are alike.
-    for (let i = 0; i < 10; i += 1) this.draw(1);
+    for (let i = 0; i < 10; i += 1) this.randomInt(1);
   }
 
   /** A whole number from 0, below a bound. */
-  draw(below: number): number {
+  randomInt(below: number): number {
     // A multiplicative generator modulo a prime: enough to draw waits.
     this.#state = (this.#state * DRAW_FACTOR) % DRAW_PRIME;
     return Math.floor((this.#state / DRAW_PRIME) * below);
   }
 
   /** The process works for so long, and no timer fires meanwhile. */
-  spend(ms: number): void {
+  block(ms: number): void {
     this.#nowMs += ms;
   }
 
-  async pass(ms: number): Promise<void> {
+  async advance(ms: number): Promise<void> {
     const endMs = this.#nowMs + ms;
     await settle();
     while ((this.#timers[0]?.dueMs ?? Infinity) <= endMs) {
@@ -99,8 +99,9 @@
   }
 
   /** Waits for something, at most so long; whether it came. */
-  async until(came: () => boolean, ms: number): Promise<boolean> {
-    for (const endMs = this.#nowMs + ms; this.#nowMs < endMs && !came();) await this.pass(LOOK_MS);
+  async advanceUntil(came: () => boolean, ms: number): Promise<boolean> {
+    for (const endMs = this.#nowMs + ms; this.#nowMs < endMs && !came();)
+      await this.advance(LOOK_MS);
     return came();
   }
 
@@ -142,10 +143,10 @@
   #sequence = -1;
 
   /** What a call takes to reach the store, and its answer to come back, in milliseconds. */
-  wayMs = 5;
+  oneWayMs = 5;
 
   /** How many claims were sent. */
-  claims = 0;
+  claimCount = 0;
 
   constructor(time: VirtualTime) {
     super();
@@ -162,29 +163,29 @@
     { stamp }: AppendOptions = {},
   ): Promise<AppendResult> {
     const [first] = records;
-    if (first?.key === leaderKey() && first.value?.includes('"number":0')) this.claims += 1;
-    await this.#time.after(this.wayMs);
+    if (first?.key === leaderKey() && first.value?.includes('"number":0')) this.claimCount += 1;
+    await this.#time.after(this.oneWayMs);
     const outcome = stamp ? this.#admit(stamp.epoch, stamp.sequence) : 'appended';
     if (outcome === 'appended') this.#records.push(...records);
-    await this.#time.after(this.wayMs);
+    await this.#time.after(this.oneWayMs);
     return { outcome, reason: '' };
   }
 
   override async read(from: number, waitMs: number): Promise<ReadResult> {
     const askedMs = this.#time.nowMs;
-    await this.#time.after(this.wayMs);
+    await this.#time.after(this.oneWayMs);
     for (let leftMs = waitMs; leftMs > 0 && this.#records.length <= from; leftMs -= LOOK_MS) {
       await this.#time.after(LOOK_MS);
     }
     const records = this.#records.slice(from);
     const end = from + records.length;
-    await this.#time.after(this.wayMs);
-    const asOfMs = records.length > 0 ? askedMs : this.#time.nowMs - this.wayMs;
+    await this.#time.after(this.oneWayMs);
+    const asOfMs = records.length > 0 ? askedMs : this.#time.nowMs - this.oneWayMs;
     return { records, next: end, end, asOfMs };
   }
 
   override async newest(): Promise<NewestPage> {
-    await this.#time.after(2 * this.wayMs);
+    await this.#time.after(2 * this.oneWayMs);
     const newest = new Map(this.#records.map((rec) => [rec.key, rec]));
     return { records: [...newest.values()], hasMore: false, end: this.#records.length };
   }
@@ -206,7 +207,7 @@
 }
 
 /** A log in which nothing ever stands. */
-class EmptyLog extends QuietLog {
+class EmptyLog extends StaticLog {
   override async append(): Promise<AppendResult> {
     return { outcome: 'refused', reason: 'empty' };
   }
@@ -289,14 +290,14 @@
 
   /** Its process is killed, and its connections are closed with it. */
   kill(): void {
-    this.die();
+    this.losePower();
     this.peers?.kill();
   }
 
   /** It loses power: no word of it reaches anybody from now on. */
-  die(): void {
+  losePower(): void {
     this.#log.isCut = true;
-    if (this.peers) this.peers.reach = 'silent';
+    if (this.peers) this.peers.reachability = 'silent';
     this.#follower.stop();
     this.#leadership.stop().catch(() => {});
   }
@@ -329,22 +330,22 @@
 
   /** Adds nodes of one size that start within 0.3 s of each other. */
   async addMany(sizes: readonly number[]): Promise<void> {
-    const starts = sizes.map((cores) => ({ cores, inMs: this.time.draw(300) }));
+    const starts = sizes.map((cores) => ({ cores, inMs: this.time.randomInt(300) }));
     starts.sort((a, b) => a.inMs - b.inMs);
     let passedMs = 0;
     for (const { cores, inMs } of starts) {
-      await this.time.pass(inMs - passedMs);
+      await this.time.advance(inMs - passedMs);
       passedMs = inMs;
       this.add(`n${this.nodes.length}`, cores);
     }
   }
 
-  get leading(): VirtualNode | undefined {
+  get leader(): VirtualNode | undefined {
     return this.nodes.find(({ isLeading }) => isLeading);
   }
 
   async stop(): Promise<void> {
-    for (const node of this.nodes) node.die();
-    await this.time.pass(1_000);
+    for (const node of this.nodes) node.losePower();
+    await this.time.advance(1_000);
   }
 }
--- a/packages/runtime/src/test/virtual-peers.ts
+++ b/packages/runtime/src/test/virtual-peers.ts
@@ -38,7 +38,7 @@
 }
 
 /** How connections to a process come out: a cut one, and one whose queue is full, are silent. */
-export type PeerReach = 'reachable' | 'silent' | 'refused';
+export type PeerReachability = 'reachable' | 'silent' | 'refused';
 
 /** Connects virtual processes by their addresses. */
 export class VirtualNetwork {
@@ -61,7 +61,7 @@
 
   readonly #links = new Set<VirtualLink>();
 
-  reach: PeerReach = 'reachable';
+  reachability: PeerReachability = 'reachable';
 
   constructor(network: VirtualNetwork, node: string, cores: number) {
     super();
@@ -77,8 +77,8 @@
   async open(address: string, signal: AbortSignal): Promise<PeerLink> {
     await this.#network.time.after(WAY_MS);
     const target = this.#network.processes.get(address);
-    if (!target || target.reach === 'refused') throw new PeerGoneError('refused');
-    if (target.reach === 'silent') {
+    if (!target || target.reachability === 'refused') throw new PeerGoneError('refused');
+    if (target.reachability === 'silent') {
       await this.#network.time.after(GIVE_UP_MS);
       throw new PeerUnreachedError('timeout');
     }
--- a/packages/runtime/src/test/wait.ts
+++ b/packages/runtime/src/test/wait.ts
@@ -8,7 +8,7 @@
 export const pause = (ms: number): Promise<void> => delay(ms, new AbortController().signal);
 
 /** Waits until something holds; fails where it does not come to. */
-export async function until(holds: () => boolean): Promise<void> {
+export async function waitUntil(holds: () => boolean): Promise<void> {
   for (const endMs = steadyMs() + UNTIL_MS; !holds(); await pause(5)) {
     assert.ok(steadyMs() < endMs, 'waited in vain');
   }
--- a/packages/runtime/src/test/work-follower_test.ts
+++ b/packages/runtime/src/test/work-follower_test.ts
@@ -9,9 +9,9 @@
 import { jobKey, progressKey } from '../internal/work-records.js';
 import { WorkFollower } from '../internal/work-follower.js';
 import { WorkTable } from '../internal/work-table.js';
-import { LASTING_JOB, begunProgress } from './job-fixtures.js';
+import { LONG_RUNNING_JOB, startedProgress } from './job-fixtures.js';
 import { MemoryLog } from './memory-log.js';
-import { pause, until } from './wait.js';
+import { pause, waitUntil } from './wait.js';
 
 /** Jobs to forget are looked for within this time, in milliseconds. */
 const FORGET_MS = 5_050;
@@ -37,16 +37,16 @@
   }
 }
 
-const { id: ID } = LASTING_JOB;
+const { id: ID } = LONG_RUNNING_JOB;
 
-const JOB_RECORD = { key: jobKey(ID), value: encodeJob(LASTING_JOB) };
+const JOB_RECORD = { key: jobKey(ID), value: encodeJob(LONG_RUNNING_JOB) };
 
 const JOB_DELETED = { key: jobKey(ID), value: undefined };
 
 const PROGRESS_DELETED = { key: progressKey(ID), value: undefined };
 
 function progressRecord(isOver = false): KeyedWrite {
-  const job = begunProgress();
+  const job = startedProgress();
   if (isOver) job.finish('cancelled', 1);
   return { key: progressKey(ID), value: job.encode() };
 }
@@ -74,8 +74,8 @@
 });
 
 afterEach(async () => {
-  Object.assign(logs.workLog, { isHeld: false });
-  Object.assign(logs.jobLog, { isHeld: false });
+  Object.assign(logs.workLog, { isBlocked: false });
+  Object.assign(logs.jobLog, { isBlocked: false });
   follower.stop();
   await running;
 });
@@ -90,13 +90,13 @@
   // and would start its tasks once more if the role fell to it.
   await logs.jobLog.append([JOB_RECORD]);
   await logs.workLog.append([progressRecord(true)]);
-  logs.workLog.isHeld = true;
+  logs.workLog.isBlocked = true;
   follow();
   await pause(50);
   await logs.jobLog.append([JOB_DELETED]);
   await logs.workLog.append([PROGRESS_DELETED]);
-  logs.workLog.isHeld = false;
-  await until(() => follower.isLoaded);
+  logs.workLog.isBlocked = false;
+  await waitUntil(() => follower.isLoaded);
   assert.deepEqual([...states], []);
 });
 
@@ -105,19 +105,19 @@
   // read this and not the job, as the callers' log answers later. A worker lists the task; as that of
   // a job that nobody knows it would be stopped.
   follow();
-  await until(() => follower.isLoaded);
-  logs.jobLog.isHeld = true;
+  await waitUntil(() => follower.isLoaded);
+  logs.jobLog.isBlocked = true;
   await pause(1_100);
   await logs.jobLog.append([JOB_RECORD]);
   await logs.workLog.append([progressRecord()]);
-  await until(() => table.hasEarlyProgress);
+  await waitUntil(() => table.hasEarlyProgress);
   let isWhole = false;
   const whole = follower.whenWhole(new AbortController().signal).then(() => {
     isWhole = true;
   });
   await pause(200);
   assert.equal(isWhole, false);
-  logs.jobLog.isHeld = false;
+  logs.jobLog.isBlocked = false;
   await whole;
   assert.equal(table.jobs.get(ID)?.state, 'running');
   assert.deepEqual([...states], ['running']);
@@ -128,7 +128,7 @@
   // job to wait for; it must see that from the callers' log, or nobody would schedule.
   await logs.workLog.append([progressRecord(true)]);
   follow();
-  await until(() => follower.isLoaded);
+  await waitUntil(() => follower.isLoaded);
   follower.setLeading(true);
   const sinceMs = steadyMs();
   await follower.whenWhole(new AbortController().signal);
@@ -140,8 +140,8 @@
   await logs.jobLog.append([JOB_RECORD]);
   await logs.workLog.append([progressRecord()]);
   follow();
-  await until(() => follower.isLoaded);
-  expired.isHeld = true;
+  await waitUntil(() => follower.isLoaded);
+  expired.isBlocked = true;
   await expired.append([
     { key: 'x', value: '1' },
     { key: 'x', value: '2' },
@@ -156,8 +156,8 @@
     loadCount += 1;
     return MemoryLog.prototype.newest.call(logs.jobLog);
   };
-  expired.isHeld = false;
-  await until(() => loadCount > 0 && follower.isLoaded && table.jobs.has(ID));
+  expired.isBlocked = false;
+  await waitUntil(() => loadCount > 0 && follower.isLoaded && table.jobs.has(ID));
   assert.deepEqual([...states], ['running']);
   assert.ok(missingMs.every((freshMs) => freshMs === -Infinity));
 }
@@ -180,7 +180,7 @@
   await logs.jobLog.append([JOB_RECORD]);
   await logs.workLog.append([progressRecord(true)]);
   follow();
-  await until(() => follower.isLoaded);
+  await waitUntil(() => follower.isLoaded);
   const append = t.mock.method(logs.jobLog, 'append', async () => ({
     outcome: 'refused',
     reason: 'busy',
@@ -197,9 +197,9 @@
   append.mock.restore();
   await pause(FORGET_MS);
   assert.deepEqual(await forget(), []);
-  await until(() => !table.jobs.has(ID));
+  await waitUntil(() => !table.jobs.has(ID));
   await pause(FORGET_MS);
   assert.deepEqual(await forget(), [PROGRESS_DELETED]);
-  await until(() => [...table.outlived].length === 0);
+  await waitUntil(() => [...table.outlived].length === 0);
   assert.deepEqual(logs.jobLog.keys(), [JOB_RECORD.key, `-c/${ID}`, `-${JOB_RECORD.key}`]);
 });
