--- a/packages/fuzz/src/records/records-world.ts
+++ b/packages/fuzz/src/records/records-world.ts
@@ -1,6 +1,6 @@
 import { JobProgress, PLAIN_STEP, Scheduler } from '@redwingcrank/jobs';
 import {
-  SOUND_REPORT,
+  VALID_REPORT,
   decodeConfig,
   decodeNewest,
   decodeOrderAnswer,
@@ -8,7 +8,7 @@
   decodeRenewAnswer,
   decodeWorker,
   isConfig,
-  isWholeReport,
+  isCompleteReport,
   isWorkerEntry,
 } from '@redwingcrank/platform/fuzzing';
 import type { KeyedRecord } from '@redwingcrank/runtime';
@@ -214,7 +214,7 @@
 
   #answer({ kind, mutations, damage, at }: Meeting): void {
     this.#coverage.step();
-    const body = mutations.reduce<unknown>(mutate, SOUND_REPORT);
+    const body = mutations.reduce<unknown>(mutate, VALID_REPORT);
     const inBody = damage === 'no-text' || damage === 'cut-value' ? damage : 'none';
     const { text, content } = spoil('', JSON.stringify(body), inBody, at);
     const answer = { status: 200, body: content.subarray(1) };
@@ -224,7 +224,7 @@
 
   #report(body: Buffer, text: string | undefined): void {
     const { outcome } = decodeRenewAnswer({ status: 200, body });
-    const isWhole = text !== undefined && isWholeReport(parse(text));
+    const isWhole = text !== undefined && isCompleteReport(parse(text));
     if ((outcome === 'done') !== isWhole) throw new Error(`a report with outcome ${outcome}`);
     this.#coverage.hit(isWhole ? 'report-believed' : 'report-refused');
   }
--- a/packages/fuzz/src/records/sound-records.ts
+++ b/packages/fuzz/src/records/sound-records.ts
@@ -1,6 +1,6 @@
 import type { JobSpec } from '@redwingcrank/jobs';
 import { JobProgress, PLAIN_STEP } from '@redwingcrank/jobs';
-import { SOUND_CONFIG, SOUND_ENTRY } from '@redwingcrank/platform/fuzzing';
+import { VALID_CONFIG, VALID_ENTRY } from '@redwingcrank/platform/fuzzing';
 import {
   encodeJob,
   encodeLeader,
@@ -53,9 +53,9 @@
   const of = (key: string, text: string): SoundRecord => ({ key, value: JSON.parse(text), text });
   switch (kind) {
     case 'worker':
-      return of(`w${id}`, JSON.stringify(SOUND_ENTRY));
+      return of(`w${id}`, JSON.stringify(VALID_ENTRY));
     case 'config':
-      return of('config', JSON.stringify(SOUND_CONFIG));
+      return of('config', JSON.stringify(VALID_CONFIG));
     case 'wave':
       return of(`wave/${id}`, '{"wave":1,"machines":["m"],"max_count":1}');
     case 'job':
