--- a/packages/experiments/src/rounds/rounds-world.ts
+++ b/packages/experiments/src/rounds/rounds-world.ts
@@ -4,8 +4,8 @@
 const TIMING = {
   leaseMs: 6_000,
   inheritedLeaseMs: 7_600,
-  standstillMs: 2_500,
-  stopAgainMs: 1_200,
+  stallTimeoutMs: 2_500,
+  stopRetryMs: 1_200,
 };
 
 const CAPACITY = { cpuMilli: 32_000, memMb: 125_000, gpus: 0 };
--- a/packages/fuzz/src/jobs/jobs-world.ts
+++ b/packages/fuzz/src/jobs/jobs-world.ts
@@ -264,7 +264,7 @@
     this.#remove(worker);
     const reborn = this.#addWorker(worker.entry.address);
     for (const leader of this.leaders) {
-      leader.scheduler.workerGone(worker.entry.id, this.#nowMs, 'other-life');
+      leader.scheduler.workerEnded(worker.entry.id, this.#nowMs, 'other-life');
       leader.scheduler.listWorker(reborn.entry, this.#nowMs);
     }
   }
--- a/packages/fuzz/src/jobs/model-leader.ts
+++ b/packages/fuzz/src/jobs/model-leader.ts
@@ -134,8 +134,8 @@
       {
         leaseMs: surelyOverMs(LEASE_MS),
         inheritedLeaseMs: Math.max(0, former.generalEndMs - nowMs),
-        standstillMs: Infinity,
-        stopAgainMs: 1_000,
+        stallTimeoutMs: Infinity,
+        stopRetryMs: 1_000,
       },
       nowMs,
       () => {},
@@ -255,7 +255,7 @@
     };
     if (order.kind === 'start') {
       const mayStart = windowMs > 0 && this.#leases.limitMs(worker, nowMs) >= START_WINDOW_MS;
-      if (!mayStart || !this.scheduler.isDue(order)) {
+      if (!mayStart || !this.scheduler.shouldSend(order)) {
         // Nothing was sent now, but an earlier attempt may be on its way.
         this.settle(sent, mayRun ? 'unknown' : 'too-late', nowMs);
         return;
--- a/packages/fuzz/src/records/records-world.ts
+++ b/packages/fuzz/src/records/records-world.ts
@@ -34,8 +34,8 @@
 const TIMING = {
   leaseMs: 6_000,
   inheritedLeaseMs: 9_000,
-  standstillMs: 2_500,
-  stopAgainMs: 1_200,
+  stallTimeoutMs: 2_500,
+  stopRetryMs: 1_200,
 };
 
 /** Statuses that a worker, or something else at its address, may answer. */
@@ -200,7 +200,7 @@
     }
     const scheduler = new Scheduler(TIMING, 0, () => {});
     scheduler.setQueues([QUEUE]);
-    scheduler.assume(this.#table.learned);
+    scheduler.restoreLearned(this.#table.learned);
     for (const { spec, progress, isUnsure } of this.#table.jobs.values()) {
       if (isUnsure) this.#coverage.hit('job-unsure');
       else {
--- a/packages/jobs/src/admission.ts
+++ b/packages/jobs/src/admission.ts
@@ -10,7 +10,7 @@
  * The tasks of a pool of workers that wait for the same room: best-effort tasks take what is left over
  * by those that reserve theirs, so a crowd of the one kind is no reason to keep the other out.
  */
-export function laneOf(pool: string, isBestEffort: boolean): string {
+export function capacityClassOf(pool: string, isBestEffort: boolean): string {
   return isBestEffort ? `${pool} best-effort` : `${pool} reserved`;
 }
 
@@ -18,12 +18,12 @@
  * In how many milliseconds a caller had better come back with a job; undefined where it can be taken
  * now. Jobs that last or are due later take no part in the turns.
  */
-export function refusalMs(
+export function retryDelayMs(
   { schedule, steps }: JobSpec,
   { pool }: QueuePolicy,
   retryAfterMs: RetryAfter,
 ): number | undefined {
   if (schedule || steps.some(({ lasting }) => lasting)) return undefined;
-  const waitsMs = steps.map(({ fills }) => retryAfterMs[laneOf(pool, fills)] ?? 0);
+  const waitsMs = steps.map(({ fills }) => retryAfterMs[capacityClassOf(pool, fills)] ?? 0);
   return Math.max(0, ...waitsMs) || undefined;
 }
--- a/packages/jobs/src/internal/held-room.ts
+++ b/packages/jobs/src/internal/capacity-hold.ts
@@ -17,7 +17,7 @@
  * smaller tasks take what comes free bit by bit, and a task that needs more than that never finds
  * room, whatever its turn. One worker at a time takes nothing else until the task fits.
  */
-export class HeldRoom {
+export class CapacityHold {
   #hold: Hold | undefined;
 
   /** Steps that found no room, in the order in which it is held for them. */
--- a/packages/jobs/src/internal/cluster-state.ts
+++ b/packages/jobs/src/internal/cluster-state.ts
@@ -7,7 +7,7 @@
 import { findTask } from './runs.js';
 import type { StopReason } from './stop-reason.js';
 import { lostCpuMs } from './stop-reason.js';
-import { TurnWaits } from './turn-waits.js';
+import { IdleWaitEstimator } from './idle-wait-estimator.js';
 import { objectiveMs } from './urgency.js';
 import type { WorkerRun } from './worker-state.js';
 import { WorkerState } from './worker-state.js';
@@ -19,19 +19,22 @@
   /** At the start of a term: how long leases may last that an earlier node has given. */
   readonly inheritedLeaseMs: number;
   /** A run whose progress stands still for so long is stopped. */
-  readonly standstillMs: number;
+  readonly stallTimeoutMs: number;
   /** A stop that has not ended its run after so long is sent again. */
-  readonly stopAgainMs: number;
+  readonly stopRetryMs: number;
 }
 
 /** A decision worth a line in the log. */
-export type Note = (event: string, fields: Record<string, string | number | boolean>) => void;
+export type EventLogger = (
+  event: string,
+  fields: Record<string, string | number | boolean>,
+) => void;
 
 /** Jobs and workers as the scheduling node knows them, and what has changed since the last round. */
 export class ClusterState {
   readonly timing: SchedulerTiming;
 
-  readonly note: Note;
+  readonly note: EventLogger;
 
   readonly startedMs: number;
 
@@ -50,15 +53,15 @@
 
   orders: Order[] = [];
 
-  readonly turnWaits: TurnWaits;
+  readonly turnWaits: IdleWaitEstimator;
 
   /** False while jobs that were begun before may not be told yet. */
   isWhole = true;
 
-  constructor(timing: SchedulerTiming, startedMs: number, note: Note) {
+  constructor(timing: SchedulerTiming, startedMs: number, note: EventLogger) {
     this.timing = timing;
     this.startedMs = startedMs;
-    this.turnWaits = new TurnWaits(startedMs);
+    this.turnWaits = new IdleWaitEstimator(startedMs);
     this.note = note;
   }
 
--- a/packages/jobs/src/internal/turn-waits.ts
+++ b/packages/jobs/src/internal/idle-wait-estimator.ts
@@ -23,7 +23,7 @@
  * for one more, while starts also fill what was empty. Only a share of these is for idle jobs, so with
  * too many of them each waits for longer than it may.
  */
-export class TurnWaits {
+export class IdleWaitEstimator {
   readonly #sinceMs: number;
 
   readonly #buckets = new Map<string, Bucket[]>();
--- a/packages/jobs/src/internal/tail-room.ts
+++ b/packages/jobs/src/internal/latency-headroom.ts
@@ -1,6 +1,6 @@
 import type { StepSpec } from '../job.js';
-import { claimedParts } from './fill-parts.js';
-import type { TailModel } from './tail-model.js';
+import { claimedParts } from './best-effort-parts.js';
+import type { TailLatencyModel } from './tail-latency-model.js';
 import type { WorkerState } from './worker-state.js';
 
 /**
@@ -29,12 +29,12 @@
  * tails as they are now, not by their usual value: an image that disturbs much fits beside serving
  * tasks that have little to do for a while, and nowhere else.
  */
-export class TailRooms {
-  readonly #model: TailModel;
+export class LatencyHeadroom {
+  readonly #model: TailLatencyModel;
 
   readonly #known = new WeakMap<WorkerState, KnownRooms>();
 
-  constructor(model: TailModel) {
+  constructor(model: TailLatencyModel) {
     this.#model = model;
   }
 
--- a/packages/jobs/src/internal/pacing.ts
+++ b/packages/jobs/src/internal/pacing.ts
@@ -1,6 +1,6 @@
-import { claimedParts } from './fill-parts.js';
-import type { TailModel } from './tail-model.js';
-import { hasTail } from './tail-model.js';
+import { claimedParts } from './best-effort-parts.js';
+import type { TailLatencyModel } from './tail-latency-model.js';
+import { hasTail } from './tail-latency-model.js';
 import type { WorkerRun, WorkerState } from './worker-state.js';
 
 /**
@@ -57,7 +57,11 @@
  * filling task is halted: a target missed for seconds on end is what the serving tasks' own users
  * notice. The harmless ones go on as soon as no target is missed.
  */
-export function choosePaces(worker: WorkerState, model: TailModel, nowMs: number): PaceChange[] {
+export function choosePaces(
+  worker: WorkerState,
+  model: TailLatencyModel,
+  nowMs: number,
+): PaceChange[] {
   const serving = [...worker.runs.values()].filter(hasTail);
   const worst = Math.max(0, ...serving.map(ratioOf));
   const limits = mustHalt(worker, nowMs) ? undefined : limitsOf(worker, serving, model, nowMs);
@@ -89,7 +93,7 @@
 function limitsOf(
   worker: WorkerState,
   serving: readonly WorkerRun[],
-  model: TailModel,
+  model: TailLatencyModel,
   nowMs: number,
 ): Map<string, number> {
   const limits = new Map<string, number>();
@@ -114,7 +118,11 @@
   readonly lostSlack: number;
 }
 
-function interferenceOn(image: string, worker: WorkerState, model: TailModel): Interference[] {
+function interferenceOn(
+  image: string,
+  worker: WorkerState,
+  model: TailLatencyModel,
+): Interference[] {
   return [...claimedParts(worker)]
     .map(([fill, part]) => ({ fill, lostSlack: model.interference.weight(image, fill) * part }))
     .filter(({ lostSlack }) => lostSlack > BLAME);
--- a/packages/jobs/src/internal/placement.ts
+++ b/packages/jobs/src/internal/placement.ts
@@ -1,7 +1,7 @@
 import type { StepSpec } from '../job.js';
 import type { Obstacle } from './obstacle.js';
-import type { TailModel } from './tail-model.js';
-import { TailRooms } from './tail-room.js';
+import type { TailLatencyModel } from './tail-latency-model.js';
+import { LatencyHeadroom } from './latency-headroom.js';
 import type { WorkerState } from './worker-state.js';
 
 /** A worker that has not answered for so long gets nothing new, in ms: two renewals missed. */
@@ -86,12 +86,12 @@
  * few workers are closed to any one filling image; and filling tasks only where the tails of the
  * serving tasks leave room for them.
  */
-export class MostLeftOver extends PlacementPolicy {
-  readonly #rooms: TailRooms;
+export class WorstFit extends PlacementPolicy {
+  readonly #rooms: LatencyHeadroom;
 
-  constructor(model: TailModel) {
+  constructor(model: TailLatencyModel) {
     super();
-    this.#rooms = new TailRooms(model);
+    this.#rooms = new LatencyHeadroom(model);
   }
 
   protected score(spec: StepSpec, worker: WorkerState, nowMs: number): number | Obstacle {
--- a/packages/jobs/src/internal/report-reader.ts
+++ b/packages/jobs/src/internal/report-reader.ts
@@ -1,4 +1,4 @@
-import { laneOf } from '../admission.js';
+import { capacityClassOf } from '../admission.js';
 import type { StepSpec } from '../job.js';
 import { PLAIN_STEP, isFinal } from '../job.js';
 import type { JobProgress, TaskProgress } from '../job-progress.js';
@@ -7,7 +7,7 @@
 import type { EndedRow, RunningRow, WorkerReport } from '../worker.js';
 import type { ClusterState } from './cluster-state.js';
 import { choosePaces } from './pacing.js';
-import type { TailModel } from './tail-model.js';
+import type { TailLatencyModel } from './tail-latency-model.js';
 import { findTask, newRun } from './runs.js';
 import type { WorkerState } from './worker-state.js';
 
@@ -21,9 +21,9 @@
 export class ReportReader {
   readonly #state: ClusterState;
 
-  readonly #model: TailModel;
+  readonly #model: TailLatencyModel;
 
-  constructor(state: ClusterState, model: TailModel) {
+  constructor(state: ClusterState, model: TailLatencyModel) {
     this.#state = state;
     this.#model = model;
   }
@@ -58,7 +58,7 @@
     const task = job && findTask(job, run.ref);
     if (task?.phase === 'bound' && row.checkpoint) task.checkpoint = row.checkpoint;
     const idleMs = nowMs - run.movedMs;
-    if (idleMs > this.#state.timing.standstillMs && run.pace === 100 && run.stopSentMs === 0) {
+    if (idleMs > this.#state.timing.stallTimeoutMs && run.pace === 100 && run.stopSentMs === 0) {
       this.#state.note('run-stands-still', {
         task: row.task,
         run: row.run,
@@ -102,7 +102,7 @@
     const run = worker.runs.get(row.task);
     const isCurrent = run?.run === row.run;
     if (isCurrent) worker.remove(row.task);
-    if (run) this.#state.turnWaits.ended(laneOf(worker.entry.pool, run.spec.fills), nowMs);
+    if (run) this.#state.turnWaits.ended(capacityClassOf(worker.entry.pool, run.spec.fills), nowMs);
     if (row.how === 'done') worker.health.ended(true, nowMs);
     if (row.how === 'failed') worker.health.ended(false, nowMs);
     const job = this.#state.jobs.get(ref.jobId);
--- a/packages/jobs/src/internal/round-places.ts
+++ b/packages/jobs/src/internal/round-candidates.ts
@@ -26,7 +26,7 @@
 }
 
 /** The places for tasks of one kind. */
-export class KindPlaces {
+export class Candidates {
   readonly #places: readonly Place[];
 
   readonly #look: (worker: WorkerState) => number | Obstacle;
@@ -108,14 +108,14 @@
  * A look at all of them for every task that waits took a node with a third of a core seconds after
  * a takeover; it renewed no lease meanwhile, and was taken for dead.
  */
-export class RoundPlaces {
+export class RoundCandidates {
   readonly #pools = new Map<string, WorkerState[]>();
 
   readonly #policy: PlacementPolicy;
 
   readonly #nowMs: number;
 
-  readonly #kinds = new Map<string, KindPlaces>();
+  readonly #kinds = new Map<string, Candidates>();
 
   constructor(workers: Iterable<WorkerState>, policy: PlacementPolicy, nowMs: number) {
     this.#policy = policy;
@@ -128,11 +128,11 @@
   }
 
   /** The places for tasks of a step in the workers of a pool. */
-  of(spec: StepSpec, pool: string, isStarved: boolean): KindPlaces {
+  of(spec: StepSpec, pool: string, isStarved: boolean): Candidates {
     const key = `${kindOf(spec)} ${pool} ${isStarved}`;
     const known = this.#kinds.get(key);
     if (known) return known;
-    const places = new KindPlaces(this.#pools.get(pool) ?? [], (worker) =>
+    const places = new Candidates(this.#pools.get(pool) ?? [], (worker) =>
       this.#policy.look(spec, worker, this.#nowMs, isStarved),
     );
     this.#kinds.set(key, places);
--- a/packages/jobs/src/internal/placing-turns.ts
+++ b/packages/jobs/src/internal/step-rotation.ts
@@ -8,7 +8,7 @@
  * tasks that were at work before are few, and keep their place, as do the turns of overdue jobs:
  * behind a steady stream of new steps these would never come.
  */
-export class PlacingTurns {
+export class StepRotation {
   readonly #tried = new Set<string>();
 
   /** Steps of the round that others may follow only once these had their turn. */
--- a/packages/jobs/src/internal/tail-model.ts
+++ b/packages/jobs/src/internal/tail-latency-model.ts
@@ -1,4 +1,4 @@
-import { fillParts } from './fill-parts.js';
+import { fillParts } from './best-effort-parts.js';
 import { InterferenceModel, slackOf } from './interference-model.js';
 import { ServingLoads } from './serving-loads.js';
 import type { WorkerRun, WorkerState } from './worker-state.js';
@@ -7,7 +7,7 @@
 const UNMEASURED_SLACK = 1.7;
 
 /** What is known of the tails of serving tasks: their own load, and what disturbs them. */
-export class TailModel {
+export class TailLatencyModel {
   readonly interference = new InterferenceModel();
 
   readonly loads = new ServingLoads();
--- a/packages/jobs/src/internal/task-placer.ts
+++ b/packages/jobs/src/internal/task-placer.ts
@@ -1,4 +1,4 @@
-import { laneOf } from '../admission.js';
+import { capacityClassOf } from '../admission.js';
 import type { RetryAfter } from '../admission.js';
 import type { Backlog } from '../backlog.js';
 import type { JobProgress, TaskProgress } from '../job-progress.js';
@@ -9,12 +9,12 @@
 import type { ClusterState } from './cluster-state.js';
 import type { HaltedRun } from './halted-runs.js';
 import { haltedRuns } from './halted-runs.js';
-import { HeldRoom } from './held-room.js';
+import { CapacityHold } from './capacity-hold.js';
 import { IdleJobs, OVERDUE, OWED } from './idle-jobs.js';
 import type { PlacementPolicy } from './placement.js';
-import { PlacingTurns } from './placing-turns.js';
-import type { KindPlaces } from './round-places.js';
-import { RoundPlaces } from './round-places.js';
+import { StepRotation } from './step-rotation.js';
+import type { Candidates } from './round-candidates.js';
+import { RoundCandidates } from './round-candidates.js';
 import type { RoundLimits } from './round-limits.js';
 import { RoundBudget } from './round-limits.js';
 import { newRun } from './runs.js';
@@ -42,13 +42,13 @@
 
   readonly #placement: PlacementPolicy;
 
-  readonly #turns = new PlacingTurns();
+  readonly #turns = new StepRotation();
 
   readonly #waits = new StepWaits();
 
   readonly #idle = new IdleJobs();
 
-  readonly #held = new HeldRoom();
+  readonly #held = new CapacityHold();
 
   /** Overdue steps of this round without a place, since the last start. */
   readonly #overduePlaceless: WaitingStep[] = [];
@@ -110,7 +110,7 @@
     // From here on: with thousands of waiting steps the sorting takes its time as well.
     const budget = new RoundBudget(limits);
     this.#placeHeld(budget, nowMs);
-    const places = new RoundPlaces(this.#openWorkers(), this.#placement, nowMs);
+    const places = new RoundCandidates(this.#openWorkers(), this.#placement, nowMs);
     const placeless: WaitingStep[] = [];
     const hasMuchRoom = !this.#isShort && this.#state.reservedShare() < SLOW_PLACES_BELOW;
     this.#isShort = false;
@@ -147,7 +147,7 @@
    * Stops one run of each job whose runs are all halted, where another worker has a place for it:
    * halted beside a serving task that stays near its target, it would hold its job up for good.
    */
-  #stopHalted(places: RoundPlaces, nowMs: number): void {
+  #stopHalted(places: RoundCandidates, nowMs: number): void {
     for (const [jobId, halted] of this.#halted) {
       const job = this.#state.jobs.get(jobId);
       const queue = job && this.#state.queues.get(job.spec.queue);
@@ -161,7 +161,7 @@
   }
 
   /** Tells of a job that is idle for long what keeps it from how many workers. */
-  #noteIdle(job: JobProgress, spec: StepSpec, places: KindPlaces, nowMs: number): void {
+  #noteIdle(job: JobProgress, spec: StepSpec, places: Candidates, nowMs: number): void {
     if (!this.#idle.isNewlyIdle(job, nowMs)) return;
     this.#state.note('job-idle', {
       job: job.spec.id,
@@ -222,7 +222,7 @@
       return;
     }
     if (!budget.hasStarts || !this.#state.isWhole) return;
-    const places = new RoundPlaces([worker], this.#placement, nowMs);
+    const places = new RoundCandidates([worker], this.#placement, nowMs);
     const ofKind = places.of(step.spec, step.queue.pool, step.spec.fills);
     if (this.#placeTasks(step, ofKind, budget, nowMs) === 'placed') this.#held.end();
   }
@@ -269,7 +269,7 @@
   *#idleSteps([first]: readonly WaitingStep[]): Generator<WaitingStep> {
     if (!first) return;
     const { job, queue, spec, rank } = first;
-    const lane = laneOf(queue.pool, spec.fills);
+    const lane = capacityClassOf(queue.pool, spec.fills);
     this.#idleByLane.set(lane, (this.#idleByLane.get(lane) ?? 0) + 1);
     if (!spec.fills || rank <= OWED) return;
     yield { ...first, rank: OWED, orderMs: this.#idle.turnMs(job), most: 1 };
@@ -287,7 +287,7 @@
 
   #placeStep(
     step: WaitingStep,
-    places: KindPlaces,
+    places: Candidates,
     budget: RoundBudget,
     nowMs: number,
   ): StepOutcome {
@@ -300,7 +300,7 @@
 
   #placeTasks(
     step: WaitingStep,
-    places: KindPlaces,
+    places: Candidates,
     budget: RoundBudget,
     nowMs: number,
   ): StepOutcome {
@@ -326,7 +326,7 @@
   /** All members or none: a part of a gang would hold its room and wait in vain. */
   #placeGang(
     step: WaitingStep,
-    places: KindPlaces,
+    places: Candidates,
     budget: RoundBudget,
     nowMs: number,
   ): StepOutcome {
@@ -389,7 +389,7 @@
 /** Whether a run that is halted for some time could go on elsewhere. */
 function canMove(
   { worker, run }: HaltedRun,
-  places: RoundPlaces,
+  places: RoundCandidates,
   pool: string,
   nowMs: number,
 ): boolean {
--- a/packages/jobs/src/scheduler.ts
+++ b/packages/jobs/src/scheduler.ts
@@ -8,20 +8,20 @@
 import { taskName } from './task-ref.js';
 import type { WorkerEntry, WorkerReport } from './worker.js';
 import { ClusterState } from './internal/cluster-state.js';
-import type { Note, SchedulerTiming } from './internal/cluster-state.js';
+import type { EventLogger, SchedulerTiming } from './internal/cluster-state.js';
 import type { PlacementPolicy } from './internal/placement.js';
-import { MostLeftOver } from './internal/placement.js';
+import { WorstFit } from './internal/placement.js';
 import type { InterferenceWeights } from './internal/interference-model.js';
 import type { RoundLimits } from './internal/round-limits.js';
 import { NO_LIMITS } from './internal/round-limits.js';
 import { ReportReader } from './internal/report-reader.js';
 import { boundTasks, newRun, unlistedEntry } from './internal/runs.js';
 import { StopRules } from './internal/stop-rules.js';
-import { TailModel } from './internal/tail-model.js';
+import { TailLatencyModel } from './internal/tail-latency-model.js';
 import { TaskPlacer } from './internal/task-placer.js';
 import type { WorkerState } from './internal/worker-state.js';
 
-export type { Note, SchedulerTiming } from './internal/cluster-state.js';
+export type { EventLogger, SchedulerTiming } from './internal/cluster-state.js';
 export type { RoundLimits } from './internal/round-limits.js';
 
 /** How long a worker that had no room is left alone, in ms: until its next ends are known. */
@@ -55,7 +55,7 @@
 
   readonly #stopRules: StopRules;
 
-  readonly #model: TailModel;
+  readonly #model: TailLatencyModel;
 
   /** When leases that earlier nodes have given are over, where more than the rule is known. */
   #inheritedEndMs: ReadonlyMap<string, number> = new Map();
@@ -63,9 +63,9 @@
   constructor(
     timing: SchedulerTiming,
     nowMs: number,
-    note: Note,
-    model = new TailModel(),
-    placement: PlacementPolicy = new MostLeftOver(model),
+    note: EventLogger,
+    model = new TailLatencyModel(),
+    placement: PlacementPolicy = new WorstFit(model),
   ) {
     this.#state = new ClusterState(timing, nowMs, note);
     this.#model = model;
@@ -88,7 +88,7 @@
   }
 
   /** Starts from what an earlier scheduling node has learned. */
-  assume(learned: InterferenceWeights): void {
+  restoreLearned(learned: InterferenceWeights): void {
     this.#model.interference.assume(learned);
   }
 
@@ -105,7 +105,7 @@
    * Jobs that were begun before may not be told yet, or all of them are. Until then what workers list
    * of unknown jobs is left as it is; all else goes on.
    */
-  setWhole(isWhole: boolean): void {
+  setFullyLoaded(isWhole: boolean): void {
     this.#state.isWhole = isWhole;
   }
 
@@ -131,7 +131,7 @@
   }
 
   /** The stored progress of a job is no longer what this node has: it is stored once more. */
-  restate(id: string): void {
+  markChanged(id: string): void {
     const job = this.#state.jobs.get(id);
     if (job) this.#state.changed.add(job);
   }
@@ -162,7 +162,7 @@
   }
 
   /** The worker's life is known to be over: nothing runs there. */
-  workerGone(id: string, nowMs: number, why: string): void {
+  workerEnded(id: string, nowMs: number, why: string): void {
     const worker = this.#state.workers.get(id);
     if (!worker) return;
     this.#state.note('worker-gone', { worker: id, why, runs: worker.runs.size });
@@ -187,7 +187,7 @@
     const worker = this.#state.workers.get(order.worker);
     if (!worker) return;
     if (outcome === 'other-life') {
-      this.workerGone(order.worker, nowMs, 'other-life');
+      this.workerEnded(order.worker, nowMs, 'other-life');
       return;
     }
     if (order.kind === 'start') this.#startAnswered(worker, order, outcome, nowMs, settledMs);
@@ -199,7 +199,7 @@
    * that it leaves. One that is not listed any more may have said so where nobody read it. One that
    * was never sent can be answered with `too-late`.
    */
-  isDue(order: Order): boolean {
+  shouldSend(order: Order): boolean {
     if (order.kind !== 'start') return true;
     const worker = this.#state.workers.get(order.worker);
     const run = worker?.runs.get(taskName(order.task));
@@ -214,7 +214,7 @@
   }
 
   /** Whether `decide` would tell something that was handed in since its last call. */
-  get hasNews(): boolean {
+  get hasPendingDecisions(): boolean {
     const { changed, orders, endsProcessed } = this.#state;
     return changed.size > 0 || orders.length > 0 || endsProcessed.size > 0;
   }
@@ -376,7 +376,7 @@
   #stopUnwanted(nowMs: number): void {
     for (const worker of this.#state.workers.values()) {
       for (const run of worker.runs.values()) {
-        const again = nowMs - run.stopSentMs >= this.#state.timing.stopAgainMs;
+        const again = nowMs - run.stopSentMs >= this.#state.timing.stopRetryMs;
         const reason = again ? this.#stopRules.reason(worker, run, nowMs) : undefined;
         if (reason) this.#state.stopRun(worker, run, reason, nowMs);
       }
--- a/packages/jobs/src/test/idle-jobs_test.ts
+++ b/packages/jobs/src/test/idle-jobs_test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { CrowdedCluster } from './crowded-cluster.js';
+import { CrowdedCluster } from './overloaded-cluster.js';
 
 /** A job that could go on has something at work after so long while under half is in use, in ms. */
 const PROMISED_MS = 3_000;
--- a/packages/jobs/src/test/crowded-cluster.ts
+++ b/packages/jobs/src/test/overloaded-cluster.ts
@@ -1,8 +1,8 @@
-import { refusalMs } from '../admission.js';
+import { retryDelayMs } from '../admission.js';
 import type { JobProgress } from '../job-progress.js';
 import { isFinal } from '../job.js';
 import type { StepSpec } from '../job.js';
-import { DrawnCluster, STEP_MS, drawing } from './drawn-cluster.js';
+import { DrawnCluster, STEP_MS, drawing } from './simulated-cluster.js';
 import { QUEUE, jobSpec, stepSpec, workerEntry } from './scheduler-harness.js';
 
 const WORKERS = ['w1', 'w2', 'w3', 'w4', 'w5', 'w6', 'w7', 'w8'];
@@ -65,7 +65,7 @@
     for (let i = 0; i < count; i += 1) {
       const id = `late${i}-${harness.nowMs}`;
       const job = jobSpec([late, { ...late, after: [0] }], { id, acceptedMs: 0 });
-      const waitMs = refusalMs(job, QUEUE, harness.scheduler.retryAfter(harness.nowMs));
+      const waitMs = retryDelayMs(job, QUEUE, harness.scheduler.retryAfter(harness.nowMs));
       if (waitMs !== undefined) this.refusedCount += 1;
       else harness.submit(job);
     }
--- a/packages/jobs/src/test/round-work_test.ts
+++ b/packages/jobs/src/test/round-work_test.ts
@@ -99,7 +99,7 @@
   for (const [i, id] of waiting.entries()) {
     harness.submit(jobSpec([stepSpec({ cpuMilli: 500 + i })], { id }));
   }
-  harness.scheduler.workerGone(first!.worker, harness.nowMs, 'test');
+  harness.scheduler.workerEnded(first!.worker, harness.nowMs, 'test');
   const order: string[] = [];
   for (let hasMore = true; hasMore;) {
     const before = workers.looks;
--- a/packages/jobs/src/test/scheduler-harness.ts
+++ b/packages/jobs/src/test/scheduler-harness.ts
@@ -4,7 +4,7 @@
 import type { Order, OrderOutcome } from '../order.js';
 import type { Decisions } from '../scheduler.js';
 import { Scheduler } from '../scheduler.js';
-import { TailModel } from '../internal/tail-model.js';
+import { TailLatencyModel } from '../internal/tail-latency-model.js';
 import { taskName } from '../task-ref.js';
 import type { EndedRow, RunningRow, WorkerEntry } from '../worker.js';
 
@@ -13,8 +13,8 @@
 export const TIMING = {
   leaseMs: 6_000,
   inheritedLeaseMs: 16_000,
-  standstillMs: 2_500,
-  stopAgainMs: 1_000,
+  stallTimeoutMs: 2_500,
+  stopRetryMs: 1_000,
 };
 
 /** The queue of all jobs. */
@@ -64,7 +64,7 @@
   /** The fields of the notes, in their order. */
   readonly noteFields: Record<string, string | number | boolean>[] = [];
 
-  readonly model = new TailModel();
+  readonly model = new TailLatencyModel();
 
   readonly scheduler: Scheduler;
 
--- a/packages/jobs/src/test/starved-jobs_test.ts
+++ b/packages/jobs/src/test/starved-jobs_test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { DrawnCluster, drawing } from './drawn-cluster.js';
+import { DrawnCluster, drawing } from './simulated-cluster.js';
 import {
   SchedulerHarness,
   jobSpec,
@@ -191,7 +191,7 @@
   const { harness } = cluster;
   playUntil(cluster, () => harness.notes.includes('room-held'));
   const [held] = harness.fieldsOf('room-held') as [{ job: string; worker: string }];
-  harness.scheduler.workerGone(held.worker, harness.nowMs, 'test');
+  harness.scheduler.workerEnded(held.worker, harness.nowMs, 'test');
   playUntil(cluster, () => ids.every((id) => cluster.firstStartMs.has(id)));
   assert.ok(ids.every((id) => cluster.firstStartMs.has(id)));
   const bound = harness.fieldsOf('bound').filter(({ worker }) => worker === held.worker);
--- a/packages/jobs/src/test/tail-model_test.ts
+++ b/packages/jobs/src/test/tail-latency-model_test.ts
@@ -110,7 +110,7 @@
   const before = twoServing();
   learnInterference(before.harness);
   const { harness, webs } = twoServing();
-  harness.scheduler.assume(before.harness.scheduler.learned);
+  harness.scheduler.restoreLearned(before.harness.scheduler.learned);
   for (let report = 0; report < 4; report += 1) reportSlack(harness, webs, 1.3);
   harness.submit(jobSpec([LOUD], { id: '00000000000000a2' }));
   assert.deepEqual(harness.starts(), []);
--- a/packages/jobs/src/test/untold-jobs_test.ts
+++ b/packages/jobs/src/test/unloaded-jobs_test.ts
@@ -29,11 +29,11 @@
 test('what runs of a job that is not told yet goes on, and counts once it is told', () => {
   const { job, start } = begun('w1');
   const harness = new SchedulerHarness([workerEntry('w1')]);
-  harness.scheduler.setWhole(false);
+  harness.scheduler.setFullyLoaded(false);
   harness.report('w1', { running: [runningRow(start)] });
   assert.deepEqual(harness.stops(), []);
   harness.scheduler.addJob(job);
-  harness.scheduler.setWhole(true);
+  harness.scheduler.setFullyLoaded(true);
   harness.report('w1', { running: [runningRow(start)] });
   assert.deepEqual(harness.decide().orders, []);
 });
@@ -41,9 +41,9 @@
 test('what no job asks for is stopped once all jobs are told', () => {
   const { start } = begun('w1');
   const harness = new SchedulerHarness([workerEntry('w1')]);
-  harness.scheduler.setWhole(false);
+  harness.scheduler.setFullyLoaded(false);
   harness.report('w1', { running: [runningRow(start)] });
-  harness.scheduler.setWhole(true);
+  harness.scheduler.setFullyLoaded(true);
   assert.equal(harness.stops().length, 1);
 });
 
@@ -53,11 +53,11 @@
   const { job, start } = begun('w1');
   const harness = new SchedulerHarness([workerEntry('w1')]);
   const report = { ended: [harness.end(start, 'done')] };
-  harness.scheduler.setWhole(false);
+  harness.scheduler.setFullyLoaded(false);
   harness.report('w1', report);
   assert.equal(harness.decide().acks.size, 0);
   harness.scheduler.addJob(job);
-  harness.scheduler.setWhole(true);
+  harness.scheduler.setFullyLoaded(true);
   harness.report('w1', report);
   assert.deepEqual(harness.starts(), []);
   assert.equal(job.state, 'completed');
@@ -70,12 +70,12 @@
   const [known] = harness.starts();
   assert.ok(known);
   harness.answer(known, 'done');
-  harness.scheduler.setWhole(false);
+  harness.scheduler.setFullyLoaded(false);
   const report = { ended: [harness.end(start, 'done'), harness.end(known, 'done')] };
   harness.nowMs += 10;
   harness.report('w1', report);
   assert.deepEqual(harness.starts(), []);
-  harness.scheduler.setWhole(true);
+  harness.scheduler.setFullyLoaded(true);
   harness.report('w1', report);
   harness.decide();
   assert.equal(job.state, 'completed');
@@ -85,7 +85,7 @@
   // How much room that takes is known only with the job.
   const { start } = begun('w1');
   const harness = new SchedulerHarness([workerEntry('w1')]);
-  harness.scheduler.setWhole(false);
+  harness.scheduler.setFullyLoaded(false);
   harness.report('w1', { running: [runningRow(start)] });
   harness.submit(jobSpec([stepSpec({ cpuMilli: 5_000 })]));
   assert.deepEqual(harness.starts(), []);
@@ -101,9 +101,9 @@
   const harness = new SchedulerHarness([workerEntry('w2')]);
   const endMs = harness.nowMs + 30_000;
   harness.scheduler.inheritLeases(new Map([['w1', endMs]]));
-  harness.scheduler.setWhole(false);
+  harness.scheduler.setFullyLoaded(false);
   harness.scheduler.addJob(job);
-  harness.scheduler.setWhole(true);
+  harness.scheduler.setFullyLoaded(true);
   harness.nowMs = endMs - 1;
   harness.report('w2');
   assert.deepEqual(harness.starts(), []);
--- a/packages/runtime/src/internal/leader-term.ts
+++ b/packages/runtime/src/internal/leader-term.ts
@@ -148,7 +148,7 @@
     for (const job of this.#table.jobs.values()) takeOn(this.#scheduler, job);
     this.#scheduler.inheritLeases(namedEndMs);
     this.#takeQueues();
-    this.#scheduler.assume(this.#table.learned);
+    this.#scheduler.restoreLearned(this.#table.learned);
     this.#subscriptions.push(
       this.#table.changes$.subscribe((change) => this.#workChanged(change)),
       this.#config.changes$.subscribe(() => this.#takeQueues()),
@@ -157,7 +157,7 @@
     this.#load
       .run(() => this.#loadView(), this.#stopping.signal)
       .catch((err) => this.#failed('term-load', err));
-    this.#scheduler.setWhole(false);
+    this.#scheduler.setFullyLoaded(false);
     whole.then((isWhole) => this.#jobsTold(isWhole)).catch((err) => this.#failed('jobs', err));
     while (!this.#stopping.signal.aborted) await this.#round();
     this.#close();
@@ -202,7 +202,7 @@
   }
 
   isDue(order: Order): boolean {
-    return this.#scheduler.isDue(order);
+    return this.#scheduler.shouldSend(order);
   }
 
   reported(worker: string, report: WorkerReport, askedMs: number): void {
@@ -211,7 +211,7 @@
     this.#scheduler.report(worker, report, askedMs, steadyMs());
     // Most reports change nothing. With hundreds of workers a round for each of them would take a
     // third of a core, and orders would lie for seconds on a node that has no more.
-    if (isFirst || this.#scheduler.hasNews) this.#pacing.wake();
+    if (isFirst || this.#scheduler.hasPendingDecisions) this.#pacing.wake();
   }
 
   answered(order: Order, outcome: OrderOutcome, settledMs: number): void {
@@ -220,7 +220,7 @@
   }
 
   gone(worker: string, why: string): void {
-    this.#scheduler.workerGone(worker, steadyMs(), why);
+    this.#scheduler.workerEnded(worker, steadyMs(), why);
     this.#links.close(worker);
     this.#pacing.wake();
   }
@@ -349,7 +349,7 @@
 
   #jobsTold(isWhole: boolean): void {
     this.#isWhole = isWhole;
-    this.#scheduler.setWhole(isWhole);
+    this.#scheduler.setFullyLoaded(isWhole);
     this.#pacing.wake();
   }
 
@@ -367,7 +367,7 @@
         this.#scheduler.cancel(change.id, Date.now());
         break;
       case 'unsure':
-        this.#scheduler.restate(change.id);
+        this.#scheduler.markChanged(change.id);
         break;
       default:
         this.#scheduler.dropJob(change.id);
--- a/packages/runtime/src/internal/term-scheduler.ts
+++ b/packages/runtime/src/internal/term-scheduler.ts
@@ -18,8 +18,8 @@
   const timing = {
     leaseMs: surelyOverMs(leaseMs),
     inheritedLeaseMs: Math.max(0, generalEndMs - steadyMs()),
-    standstillMs: STANDSTILL_MS,
-    stopAgainMs: STOP_AGAIN_MS,
+    stallTimeoutMs: STANDSTILL_MS,
+    stopRetryMs: STOP_AGAIN_MS,
   };
   return new Scheduler(timing, steadyMs(), (event, fields) =>
     log.emit('info', event, BY_VIEWS.has(event) ? { ...fields, ...viewAges() } : fields),
--- a/packages/runtime/src/job-service.ts
+++ b/packages/runtime/src/job-service.ts
@@ -1,7 +1,7 @@
 import type { Observable } from 'rxjs';
 import { firstValueFrom, from, map, merge, race, timer } from 'rxjs';
 import type { JobSpec, JobState, QueuePolicy } from '@redwingcrank/jobs';
-import { refusalMs } from '@redwingcrank/jobs';
+import { retryDelayMs } from '@redwingcrank/jobs';
 import type { KeyedLog, KeyedWrite } from './keyed-log.js';
 import type { NodeLog } from './node-log.js';
 import { AppendBatcher } from './internal/append-batcher.js';
@@ -133,7 +133,7 @@
     const leaderAgeMs = steadyMs() - leaderSeenMs;
     const isTold = leader?.retryAfterMs !== undefined && leaderAgeMs < MAX_REFUSAL_AGE_MS;
     if (!isTold || this.#find(spec.id)) return undefined;
-    const waitMs = refusalMs(spec, queue, leader.retryAfterMs);
+    const waitMs = retryDelayMs(spec, queue, leader.retryAfterMs);
     if (waitMs === undefined) return undefined;
     this.#log.emit('info', 'submit', {
       job: spec.id,
--- a/packages/runtime/src/test/idle-worker_test.ts
+++ b/packages/runtime/src/test/idle-worker_test.ts
@@ -10,7 +10,12 @@
 
 const LEASE_MS = 6_000;
 
-const TIMING = { leaseMs: LEASE_MS, inheritedLeaseMs: 0, standstillMs: 2_500, stopAgainMs: 1_200 };
+const TIMING = {
+  leaseMs: LEASE_MS,
+  inheritedLeaseMs: 0,
+  stallTimeoutMs: 2_500,
+  stopRetryMs: 1_200,
+};
 
 /** What a renewal takes beyond its wait: the calls, and a node that is busy, in milliseconds. */
 const LATE_MS = 190;
--- a/packages/runtime/src/test/job-service_test.ts
+++ b/packages/runtime/src/test/job-service_test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { Subject } from 'rxjs';
 import type { JobSpec, QueuePolicy, RetryAfter } from '@redwingcrank/jobs';
-import { PLAIN_STEP, laneOf } from '@redwingcrank/jobs';
+import { PLAIN_STEP, capacityClassOf } from '@redwingcrank/jobs';
 import { WorkTable } from '../internal/work-table.js';
 import { steadyMs } from '../internal/delay.js';
 import { JobService } from '../job-service.js';
@@ -130,7 +130,7 @@
   const held = new HeldService();
   const job = { ...LASTING_JOB, id: '00000000000000a1', steps: [PLAIN_STEP] };
   assert.equal(held.refusalMs(job, 'full'), undefined);
-  held.view.refuse({ [laneOf('full', false)]: 2_500 });
+  held.view.refuse({ [capacityClassOf('full', false)]: 2_500 });
   assert.equal(held.refusalMs(job, 'full'), 2_500);
   assert.equal(held.refusalMs(job, 'empty'), undefined);
   const bestEffort = { ...PLAIN_STEP, fills: true };
@@ -149,7 +149,7 @@
   const held = new HeldService();
   const state = { isLeading: false, viewAgeMs: 0, jobs: new Map(), faults: [] };
   const metrics = new NodeMetrics(held.nodeLog, () => state);
-  held.view.refuse({ [laneOf('full', false)]: 2_500 });
+  held.view.refuse({ [capacityClassOf('full', false)]: 2_500 });
   held.refusalMs({ ...LASTING_JOB, steps: [PLAIN_STEP] }, 'full');
   assert.match(await metrics.text(), /submit_duration_seconds_count\{outcome="not-run"\} 1/);
 });
@@ -158,7 +158,7 @@
   // Guards against refusals that go on after the crowd, as nobody says that it is over.
   const held = new HeldService();
   const job = { ...LASTING_JOB, steps: [PLAIN_STEP] };
-  held.view.refuse({ [laneOf('full', false)]: 2_500 });
+  held.view.refuse({ [capacityClassOf('full', false)]: 2_500 });
   const nowMs = performance.now();
   t.mock.method(performance, 'now', () => nowMs + 2_000);
   assert.equal(held.refusalMs(job, 'full'), undefined);
--- a/packages/runtime/src/test/slow-list_test.ts
+++ b/packages/runtime/src/test/slow-list_test.ts
@@ -36,7 +36,7 @@
   // stood still for as long.
   const log = new NodeLog('n1', 'silent');
   const port = platformPort({ workerLog: new SlowLog() });
-  const timing = { leaseMs: 0, inheritedLeaseMs: 0, standstillMs: 0, stopAgainMs: 0 };
+  const timing = { leaseMs: 0, inheritedLeaseMs: 0, stallTimeoutMs: 0, stopRetryMs: 0 };
   const scheduler = new Scheduler(timing, 0, () => {});
   const config = new ConfigWatch(port, log);
   const list = new WorkerList(port, log, config, scheduler, () => {}, new FaultLog(log));
--- a/packages/runtime/src/test/worker-list_test.ts
+++ b/packages/runtime/src/test/worker-list_test.ts
@@ -17,8 +17,8 @@
 const TIMING = {
   leaseMs: 6_000,
   inheritedLeaseMs: 6_000,
-  standstillMs: 2_500,
-  stopAgainMs: 1_200,
+  stallTimeoutMs: 2_500,
+  stopRetryMs: 1_200,
 };
 
 const ENTRY: WorkerEntry = {
