--- a/packages/daemon/src/internal/dispatcher.ts
+++ b/packages/daemon/src/internal/dispatcher.ts
@@ -8,7 +8,7 @@
   SEND_EVENTS,
   ServiceRate,
   maySend,
-  outcomeIn,
+  unansweredOutcome,
   requestChart,
 } from '@redwingcrank/decisions';
 import type { EndpointPool } from './endpoint-pool.js';
@@ -86,7 +86,7 @@
    * @throws RequestError (302, 303, 304, 305)
    */
   async send(passage: Passage): Promise<http.IncomingMessage> {
-    this.#stateOf(passage.service).budget.earn();
+    this.#stateOf(passage.service).budget.addRequest();
     const tried = new Set<string>();
     let state = requestChart.initial;
     let last: ForwardResult | undefined;
@@ -99,7 +99,7 @@
       const again = maySend(state, passage.idempotent);
       endpoint = again ? this.#next(passage, last, tried) : undefined;
     }
-    throw errorOf(passage, outcomeIn(state), last);
+    throw errorOf(passage, unansweredOutcome(state), last);
   }
 
   /** Forgets endpoints that are no more, and looks whether new ones have room. */
@@ -114,7 +114,7 @@
     const endpoint = this.#pick(passage, tried);
     if (!endpoint) return undefined;
     // What was never sent burdened nobody; all else is paid for.
-    const paid = result.type === 'not-sent' || this.#stateOf(passage.service).budget.spend();
+    const paid = result.type === 'not-sent' || this.#stateOf(passage.service).budget.takeToken();
     return paid ? this.#occupy(passage.service, endpoint) : undefined;
   }
 
@@ -235,7 +235,7 @@
     const { budget } = this.#stateOf(passage.service);
     const elsewhere =
       passage.idempotent && tried.size < MAX_SENDS && this.#pick(passage, tried) !== undefined;
-    if (elsewhere && budget.canSpend) giveUp();
+    if (elsewhere && budget.hasToken) giveUp();
   }
 
   #learn(endpoint: Endpoint, result: ForwardResult, ms: number, gaveUp: boolean): void {
--- a/packages/daemon/src/internal/host-list-task.ts
+++ b/packages/daemon/src/internal/host-list-task.ts
@@ -1,7 +1,7 @@
 import { BehaviorSubject } from 'rxjs';
 import type { ListedHost } from '@redwingcrank/protocol';
 import type { HostListSource } from '@redwingcrank/ports';
-import { HostListJudge } from '@redwingcrank/decisions';
+import { HostListFilter } from '@redwingcrank/decisions';
 import type { EventLog } from './event-log.js';
 import { sleep } from './sleep.js';
 
@@ -19,7 +19,7 @@
 export class HostListTask {
   readonly #options: HostListOptions;
 
-  readonly #judge: HostListJudge;
+  readonly #judge: HostListFilter;
 
   #heldBack = 0;
 
@@ -30,7 +30,7 @@
 
   constructor(options: HostListOptions) {
     this.#options = options;
-    this.#judge = new HostListJudge(options.confirmMs);
+    this.#judge = new HostListFilter(options.confirmMs);
   }
 
   /** Hosts that are shown as leaving. */
@@ -66,12 +66,12 @@
   }
   #take(hosts: readonly ListedHost[], version: number | undefined): void {
     const { events, known } = this.#options;
-    const judged = this.#judge.judge(hosts, known(), performance.now(), version);
+    const judged = this.#judge.filter(hosts, known(), performance.now(), version);
     if (!judged) {
       events.emit('warn', 'host-list-old', { version: version ?? 0 });
       return;
     }
-    const held = judged.heldBack.length;
+    const held = judged.retained.length;
     if (held !== this.#heldBack) {
       events.emit('warn', 'host-list-held', { held, shown: hosts.length });
       this.#heldBack = held;
--- a/packages/daemon/src/internal/key-home-task.ts
+++ b/packages/daemon/src/internal/key-home-task.ts
@@ -1,5 +1,5 @@
 import type { KeptKeyMemory, KeyedAnswer, KeyedRequest, Service } from '@redwingcrank/protocol';
-import type { KeyMemory, RunEnd } from '@redwingcrank/decisions';
+import type { KeyMemory, RunOutcome } from '@redwingcrank/decisions';
 import { KeyTable } from '@redwingcrank/decisions';
 import { readAnswer } from './answer-buffer.js';
 import type { Dispatcher } from './dispatcher.js';
@@ -98,7 +98,7 @@
     const refusal = this.#refusalOf(call);
     if (refusal) return refusal;
     const now = performance.now();
-    const verdict = this.#table.begin(nameOf(call), call.fingerprint, call.ageMs, now);
+    const verdict = this.#table.start(nameOf(call), call.fingerprint, call.ageMs, now);
     this.#options.metrics.countKeyed(verdict.type);
     if (verdict.type === 'run') this.#start(call);
     if (verdict.type === 'run' || verdict.type === 'join') return this.#join(call);
@@ -193,7 +193,7 @@
   return `${service} ${key}`;
 }
 
-function endOf(outcome: RequestError['outcome']): RunEnd<Answered> {
+function endOf(outcome: RequestError['outcome']): RunOutcome<Answered> {
   // An answer that was too large to keep: the key ran, and a repeat must be told so.
   if (outcome === 'ran') return { type: 'ran' };
   return { type: outcome };
--- a/packages/daemon/src/internal/lease-keeper.ts
+++ b/packages/daemon/src/internal/lease-keeper.ts
@@ -1,7 +1,7 @@
 import { Subject } from 'rxjs';
 import type { AskedReport, Manifest, WorkerReport } from '@redwingcrank/protocol';
 import type { WorkerClient } from '@redwingcrank/ports';
-import type { ControlNode, HostState, WorkerAct } from '@redwingcrank/decisions';
+import type { ControlNode, HostState, WorkerCommand } from '@redwingcrank/decisions';
 import type { EventLog } from './event-log.js';
 import { sleep } from './sleep.js';
 
@@ -89,7 +89,7 @@
     try {
       const report = await this.#ask(() => this.#options.workers.report(host.address));
       // Judged after the report has come: its heartbeat is older than what is known here.
-      const acts = [...this.#options.control.tend(report, performance.now())];
+      const acts = [...this.#options.control.commandsFor(report, performance.now())];
       for (const call of this.#calls(host, report, acts)) await this.#ask(call);
       this.#unreachable.delete(host.hostId);
     } catch (err) {
@@ -110,7 +110,7 @@
   }
 
   /** Renewals go first: what ends or starts may take its time. */
-  *#calls(host: HostState, report: WorkerReport, acts: readonly WorkerAct[]): Generator<Call> {
+  *#calls(host: HostState, report: WorkerReport, acts: readonly WorkerCommand[]): Generator<Call> {
     const { workers, leaseMs } = this.#options;
     const { address } = host;
     const { heartbeat, incarnation } = report;
--- a/packages/daemon/src/internal/node-process.ts
+++ b/packages/daemon/src/internal/node-process.ts
@@ -4,7 +4,7 @@
 import type { EventFilter, Hello, StatusView } from '@redwingcrank/protocol';
 import { HybridClock, MANIFEST_STREAM, controlStream } from '@redwingcrank/protocol';
 import type { NodeState } from '@redwingcrank/decisions';
-import { listedFrom, nodeChart } from '@redwingcrank/decisions';
+import { listedHostsOf, nodeChart } from '@redwingcrank/decisions';
 import { HttpHostListSource, HttpPlatformLog, JsonListener, SharedKeys } from '@redwingcrank/ports';
 import type { AdminSource } from './admin-api.js';
 import { AdminApi } from './admin-api.js';
@@ -90,7 +90,7 @@
       events: this.#events,
       pollMs: settings.hostListPollMs,
       confirmMs: settings.hostListConfirmMs,
-      known: () => listedFrom(this.#control.fold, dataCentre),
+      known: () => listedHostsOf(this.#control.fold, dataCentre),
     });
     this.#peers = this.#makePeers();
     const ctx: NodeContext = {
--- a/packages/daemon/src/internal/scheduler-task.ts
+++ b/packages/daemon/src/internal/scheduler-task.ts
@@ -91,7 +91,7 @@
   protected override async handle(message: SchedulerMessage): Promise<void> {
     const { control } = this.#options;
     if (message.type === 'report') {
-      control.reported(message.asked, performance.now());
+      control.onReport(message.asked, performance.now());
       this.#learn(message.asked.report);
       return;
     }
@@ -104,7 +104,7 @@
     else if (this.#options.shouldClaim()) await this.#claim();
   }
 
-  /** Until its own record is folded the node acts on no worker; see LapseWatch for why. */
+  /** Until its own record is folded the node acts on no worker; see LeaseExpiryTracker for why. */
   async #join(): Promise<void> {
     const now = performance.now();
     if (now - this.#joinedAt < JOIN_RETRY_MS) return;
--- a/packages/daemon/src/internal/scheduling-role.ts
+++ b/packages/daemon/src/internal/scheduling-role.ts
@@ -85,12 +85,12 @@
       timing: { leaseMs, staleMs },
       startedAt: performance.now(),
     });
-    this.#ctx.control.folded$.subscribe((result) => decider.folded(result, performance.now()));
-    this.#ctx.control.restored$.subscribe(() => decider.restored(performance.now()));
-    this.#ctx.control.readToEnd$.subscribe((startedAt) => decider.readToEnd(startedAt));
+    this.#ctx.control.folded$.subscribe((result) => decider.onFolded(result, performance.now()));
+    this.#ctx.control.restored$.subscribe(() => decider.onRestored(performance.now()));
+    this.#ctx.control.readToEnd$.subscribe((startedAt) => decider.onReadToEnd(startedAt));
     this.#ctx.peers.heard$.subscribe((hello) => {
       // Offsets of another data centre's stream promise nothing here.
-      if (hello.dataCentre === dataCentre) decider.heard({ ...hello, at: performance.now() });
+      if (hello.dataCentre === dataCentre) decider.onHello({ ...hello, at: performance.now() });
     });
     return decider;
   }
--- a/packages/decisions/src/charts/request.chart.ts
+++ b/packages/decisions/src/charts/request.chart.ts
@@ -48,6 +48,6 @@
 }
 
 /** What to tell of a request that ends in this state without an answer. */
-export function outcomeIn(state: RequestState): Outcome {
+export function unansweredOutcome(state: RequestState): Outcome {
   return requestChart.next(state, 'end') === 'notRun' ? 'not-run' : 'unknown';
 }
--- a/packages/decisions/src/control-fold.ts
+++ b/packages/decisions/src/control-fold.ts
@@ -25,7 +25,7 @@
 import { Members } from './rebind/members.js';
 import type { StreamFold } from './stream-fold.js';
 import { TaskIndex } from './policy/task-index.js';
-import { refuseBind, subject } from './control-rules.js';
+import { bindRefusal, subjectOf } from './control-rules.js';
 import type { ApplyResult, HostState, LostWork, TaskState } from './control-state.js';
 import { taskIndexOf } from './task-ids.js';
 
@@ -43,7 +43,7 @@
  * - only records of the current term take effect, so a paused holder that wakes is voided;
  * - a batch takes effect only on the state it was decided on, so an append that was given up and
  *   reaches the log late changes nothing;
- * - a task has one attempt that has not ended, so it runs in one place (see rebind/lapse-watch.ts
+ * - a task has one attempt that has not ended, so it runs in one place (see rebind/lease-expiry-tracker.ts
  *   for why `ended` is true when it is recorded);
  * - attempt n+1 resumes from the very checkpoint with which attempt n ended, and only it does;
  * - what is committed on a host never exceeds its capacity at the time of the binding.
@@ -237,7 +237,7 @@
         left.push(...this.#members.leave(nodeId, incarnation, this.#offset));
       }
       const reason = this.#act(action);
-      if (reason !== undefined) voided.push(`${action.type} ${subject(action)}: ${reason}`);
+      if (reason !== undefined) voided.push(`${action.type} ${subjectOf(action)}: ${reason}`);
     }
     return { accepted: true, voided, left };
   }
@@ -293,7 +293,7 @@
     const host = this.#hosts.get(action.hostId);
     if (!host || host.state !== 'live') return `host ${action.hostId} is not live`;
     const last = this.#tasks.get(action.taskId);
-    const refusal = refuseBind(last, action);
+    const refusal = bindRefusal(last, action);
     if (refusal !== undefined) return refusal;
     // The fold itself refuses: racing or mistaken schedulers cannot over-commit a host.
     if (!fits(action.resources, subtractResources(host.capacity, host.committed))) {
--- a/packages/decisions/src/control-rules.ts
+++ b/packages/decisions/src/control-rules.ts
@@ -2,7 +2,7 @@
 import type { TaskState } from './control-state.js';
 
 /** Why an attempt may not be bound after the last one, or undefined where it may. */
-export function refuseBind(last: TaskState | undefined, action: BindAction): string | undefined {
+export function bindRefusal(last: TaskState | undefined, action: BindAction): string | undefined {
   if (!last) return action.attempt === 1 ? undefined : 'the first attempt must be number 1';
   if (last.state !== 'ended') return `attempt ${last.attempt} has not ended`;
   if (last.outcome === 'completed') return 'the task is complete';
@@ -17,7 +17,7 @@
 }
 
 /** What an action is about, for people. */
-export function subject(action: ControlAction): string {
+export function subjectOf(action: ControlAction): string {
   if (action.type === 'host' || action.type === 'worker') return action.hostId;
   if (action.type === 'leave') return action.nodeId;
   return `${action.taskId}#${action.attempt}`;
--- a/packages/decisions/src/host-list-judge.ts
+++ b/packages/decisions/src/host-list-filter.ts
@@ -5,10 +5,10 @@
 const SUDDEN_SHARE = 0.5;
 
 /** What a look at the list comes to. */
-export interface JudgedList {
+export interface FilteredHostList {
   readonly hosts: readonly ListedHost[];
   /** Hosts that the list left out and that are kept until it has done so for long enough. */
-  readonly heldBack: readonly string[];
+  readonly retained: readonly string[];
 }
 
 /**
@@ -18,7 +18,7 @@
  * every look during `confirmMs` has left them out. What the list does show (new hosts, leaving
  * ones) counts at once: it only takes work away from a host or offers one more.
  */
-export class HostListJudge {
+export class HostListFilter {
   readonly #confirmMs: number;
 
   #accepted = new Map<string, ListedHost>();
@@ -42,12 +42,12 @@
    * @param version - The list's own version where it has one; an older list is passed over.
    * @returns What to act on, or undefined where the list is older than one seen before.
    */
-  judge(
+  filter(
     listed: readonly ListedHost[],
     known: Iterable<ListedHost>,
     nowMs: number,
     version?: number,
-  ): JudgedList | undefined {
+  ): FilteredHostList | undefined {
     if (version !== undefined && version < this.#newestVersion) return undefined;
     this.#newestVersion = version ?? this.#newestVersion;
     for (const { hostId } of listed) {
@@ -58,7 +58,7 @@
     const shown = new Map(listed.map((host) => [host.hostId, host]));
     const heldBack = [...this.#heldBack(before, shown, nowMs)];
     this.#accepted = new Map([...heldBack.map((host) => [host.hostId, host] as const), ...shown]);
-    return { hosts: [...this.#accepted.values()], heldBack: heldBack.map((host) => host.hostId) };
+    return { hosts: [...this.#accepted.values()], retained: heldBack.map((host) => host.hostId) };
   }
 
   #before(known: Iterable<ListedHost>): ListedHost[] {
@@ -92,7 +92,7 @@
 }
 
 /** The hosts of a data centre that its control stream holds, as a list would show them. */
-export function* listedFrom(fold: ControlFold, dataCentre: string): Generator<ListedHost> {
+export function* listedHostsOf(fold: ControlFold, dataCentre: string): Generator<ListedHost> {
   for (const { hostId, rack, address, capacity, state } of fold.hosts.values()) {
     if (state !== 'gone') yield { hostId, dataCentre, rack, address, capacity, state };
   }
--- a/packages/decisions/src/placement.ts
+++ b/packages/decisions/src/placement.ts
@@ -65,7 +65,7 @@
    * replicas comes first, and on it the host with the fewest. The emptier one wins a tie.
    */
   #apart(need: PlacementNeed, peers: ReplicaCounts, view: PlacementView): HostState | undefined {
-    if (view.knownFull(need)) return undefined;
+    if (view.isKnownUnplaceable(need)) return undefined;
     const racks = [...view.racks.keys()].sort(
       (a, b) => peers.onRack(a) - peers.onRack(b) || view.rackCpu(b) - view.rackCpu(a),
     );
@@ -79,7 +79,7 @@
       if (open.length > 0) return open.reduce((a, b) => (isBetter(b, a) ? b : a));
     }
     // A replica beside work that disturbs it is better than a replica that is missing.
-    if (!refused) view.markFull(need);
+    if (!refused) view.markUnplaceable(need);
     return refused;
 
     function isBetter(a: HostState, b: HostState): boolean {
--- a/packages/decisions/src/policy/admission.ts
+++ b/packages/decisions/src/policy/admission.ts
@@ -19,7 +19,7 @@
  * The class of a job: lower ones are served first. Urgent work is 0. Of each tier those whose
  * deadline is at risk come first; those whose deadline is past wait with the rest.
  */
-export function classOf(job: Job, nowMs: number, waitedMs: number): number {
+export function priorityClassOf(job: Job, nowMs: number, waitedMs: number): number {
   if (job.urgent) return 0;
   const tier = Math.max(0, TIERS.indexOf(job.tier) - Math.floor(waitedMs / AGING_MS));
   const slack = slackMs(job, nowMs);
@@ -39,7 +39,7 @@
  * The jobs of one class. The team with the smallest share goes first (the least slack where
  * deadlines are at risk), and of its jobs the one with the least slack.
  */
-export class AdmissionLine {
+export class AdmissionQueue {
   readonly #byDeadline: boolean;
 
   readonly #usage: TeamUsage;
--- a/packages/decisions/src/policy/colocation-fit.ts
+++ b/packages/decisions/src/policy/colocation-fit.ts
@@ -1,7 +1,7 @@
 import type { ControlFold, HostState } from '../control-fold.js';
 import type { PlacementNeed } from '../placement.js';
 import { BestFit } from '../placement.js';
-import { kindOf } from './interference.js';
+import { workloadKindOf } from './interference.js';
 import type { InterferenceModel } from './interference.js';
 import type { PlacementView } from './placement-view.js';
 
@@ -41,19 +41,20 @@
     const services = new Set<string>();
     const beside = new Map<string, number>();
     const count = (owner: string, cpu: number): void => {
-      const kind = kindOf(owner);
+      const kind = workloadKindOf(owner);
       beside.set(kind, (beside.get(kind) ?? 0) + cpu / host.capacity.cpu);
     };
     for (const taskId of host.tasks) {
       const task = this.#fold.tasks.get(taskId);
-      if (task?.kind === 'service') services.add(kindOf(task.owner));
+      if (task?.kind === 'service') services.add(workloadKindOf(task.owner));
       else if (task) count(task.owner, task.resources.cpu);
     }
     for (const { owner, cpu } of this.#placed.get(host.hostId) ?? []) count(owner, cpu);
     if (need.kind === 'job') count(need.owner, need.resources.cpu);
-    else return this.#model.predict(kindOf(need.owner), beside) <= TAIL_LIMIT;
+    else return this.#model.predict(workloadKindOf(need.owner), beside) <= TAIL_LIMIT;
     for (const service of services) {
-      const adds = this.#model.cost(service, kindOf(need.owner)) * need.resources.cpu > 1e-3;
+      const adds =
+        this.#model.cost(service, workloadKindOf(need.owner)) * need.resources.cpu > 1e-3;
       if (adds && this.#model.predict(service, beside) > TAIL_LIMIT) return false;
     }
     return true;
--- a/packages/decisions/src/policy/colocation.ts
+++ b/packages/decisions/src/policy/colocation.ts
@@ -1,6 +1,6 @@
 import type { Manifest, UsageReport, WorkerReport } from '@redwingcrank/protocol';
 import type { ControlFold, HostState, TaskState } from '../control-fold.js';
-import { InterferenceModel, kindOf } from './interference.js';
+import { InterferenceModel, workloadKindOf } from './interference.js';
 import { indexOf } from './manifest-index.js';
 
 /** Measurements taken this close to each other show the same moment of a host. */
@@ -40,7 +40,7 @@
 }
 
 /** A task that is to be checkpointed and moved because it disturbs a service. */
-export interface Move {
+export interface TaskMove {
   readonly taskId: string;
   readonly attempt: number;
   readonly reason: string;
@@ -76,11 +76,11 @@
   /** The share that a task is to be held to; 1 where it may use all it was bound with. */
   shareOf({ kind, hostId, owner }: TaskState): number {
     if (kind === 'service') return 1;
-    return this.#guards.get(hostId)?.shares.get(kindOf(owner)) ?? 1;
+    return this.#guards.get(hostId)?.shares.get(workloadKindOf(owner)) ?? 1;
   }
 
   /** Decides on the hosts that were measured since the last review. */
-  *review(fold: ControlFold, nowMs: number): Generator<Move> {
+  *review(fold: ControlFold, nowMs: number): Generator<TaskMove> {
     for (const [hostId, guard] of this.#guards) {
       const host = fold.hosts.get(hostId);
       if (!host) this.#guards.delete(hostId);
@@ -108,9 +108,9 @@
     const last = this.#tails.get(task.taskId);
     // The same measurement comes again with every report until there is a new one.
     if (last && measuredMs <= last.measuredMs + 1) return;
-    const beside = partsOf(fold, host, report, usage.ageMs);
+    const batchCpuShares = partsOf(fold, host, report, usage.ageMs);
     const load = Math.min(1, usage.cpu / Math.max(task.resources.cpu, 1e-3));
-    this.model.learn({ service: kindOf(task.owner), tail, load, beside });
+    this.model.learn({ service: workloadKindOf(task.owner), tail, load, batchCpuShares });
     const smoothed = last ? last.smoothed + FRESH_PART * (tail - last.smoothed) : tail;
     this.#tails.set(task.taskId, { smoothed, measuredMs });
     this.#guardOf(host.hostId).fresh = true;
@@ -130,7 +130,12 @@
     return guard;
   }
 
-  *#judge(fold: ControlFold, host: HostState, state: HostGuard, nowMs: number): Generator<Move> {
+  *#judge(
+    fold: ControlFold,
+    host: HostState,
+    state: HostGuard,
+    nowMs: number,
+  ): Generator<TaskMove> {
     const guard = state;
     guard.fresh = false;
     const worst = this.#worst(host);
@@ -163,8 +168,8 @@
     host: HostState,
     guard: HostGuard,
     suffering: string,
-  ): Generator<Move> {
-    const service = kindOf(fold.tasks.get(suffering)?.owner ?? '');
+  ): Generator<TaskMove> {
+    const service = workloadKindOf(fold.tasks.get(suffering)?.owner ?? '');
     const batch = [...host.tasks]
       .map((taskId) => fold.tasks.get(taskId))
       .filter((task) => task?.kind === 'job' && task.state === 'running');
@@ -173,7 +178,8 @@
     for (const task of batch) {
       if (task) {
         const share = this.shareOf(task);
-        const cost = (this.model.cost(service, kindOf(task.owner)) + 1e-3) * task.resources.cpu;
+        const cost =
+          (this.model.cost(service, workloadKindOf(task.owner)) + 1e-3) * task.resources.cpu;
         if (cost * share > worstCost) {
           worst = task;
           worstCost = cost * share;
@@ -183,7 +189,7 @@
     if (!worst) return;
     const share = this.shareOf(worst);
     if (share > LEAST_SHARE) {
-      guard.shares.set(kindOf(worst.owner), share / 2);
+      guard.shares.set(workloadKindOf(worst.owner), share / 2);
       return;
     }
     const { taskId, attempt } = worst;
@@ -209,7 +215,7 @@
   for (const usage of report.usage) {
     const task = fold.tasks.get(usage.taskId);
     if (task?.kind === 'job' && Math.abs(usage.ageMs - ageMs) <= SAME_MOMENT_MS) {
-      const kind = kindOf(task.owner);
+      const kind = workloadKindOf(task.owner);
       parts.set(kind, (parts.get(kind) ?? 0) + usage.cpu / host.capacity.cpu);
     }
   }
--- a/packages/decisions/src/policy/evictions.ts
+++ b/packages/decisions/src/policy/evictions.ts
@@ -3,7 +3,7 @@
 import type { HostState, TaskState } from '../control-fold.js';
 import type { PlacementNeed } from '../placement.js';
 import type { PassContext } from './pass-context.js';
-import { allows } from './placement-view.js';
+import { allowsRack } from './placement-view.js';
 import type { PlanStep } from './plan-step.js';
 import { PAUSE } from './plan-step.js';
 
@@ -45,7 +45,7 @@
    * @param tier - Work of a higher tier than this is never evicted.
    * @returns Whether room will come free; the task is bound by a later pass.
    */
-  *makeRoom(need: PlacementNeed, tier: Tier): Generator<PlanStep, boolean> {
+  *freeCapacityFor(need: PlacementNeed, tier: Tier): Generator<PlanStep, boolean> {
     const freeing = this.#hostBeingFreed(need);
     if (freeing) {
       this.#ctx.view.commit(freeing, need.resources);
@@ -68,7 +68,11 @@
   #hostBeingFreed(need: PlacementNeed): HostState | undefined {
     for (const hostId of this.#pending.keys()) {
       const host = this.#ctx.hosts.get(hostId);
-      if (host?.state === 'live' && allows(need, host) && this.#fitsIn(need, host, NO_RESOURCES)) {
+      if (
+        host?.state === 'live' &&
+        allowsRack(need, host) &&
+        this.#fitsIn(need, host, NO_RESOURCES)
+      ) {
         return host;
       }
     }
@@ -88,7 +92,7 @@
     for (let i = 0; i < compared; i += 1) {
       const host = hosts[(this.#cursor + i) % hosts.length];
       if (host && this.#ctx.pacer.due(host.tasks.size)) yield PAUSE;
-      const offer = host && allows(need, host) ? this.#offerOf(host, need, tier) : undefined;
+      const offer = host && allowsRack(need, host) ? this.#offerOf(host, need, tier) : undefined;
       if (offer && (!best || offer.cost < best.cost)) best = offer;
     }
     this.#cursor += compared;
@@ -116,7 +120,7 @@
     for (const taskId of host.tasks) {
       const task = this.#ctx.fold.tasks.get(taskId);
       const job = task?.kind === 'job' ? this.#ctx.manifest.jobs.get(task.owner) : undefined;
-      if (task && job && this.#ctx.goesOn(task) && mayEvict(job, tier)) {
+      if (task && job && this.#ctx.staysActive(task) && mayEvict(job, tier)) {
         candidates.push({ task, cost: TIER_FACTOR ** (TIERS.length - TIERS.indexOf(job.tier)) });
       }
     }
--- a/packages/decisions/src/policy/explain.ts
+++ b/packages/decisions/src/policy/explain.ts
@@ -3,9 +3,9 @@
 import type { TaskState } from '../control-fold.js';
 import type { PlanInput } from '../plan.js';
 import { taskIndexOf } from '../task-ids.js';
-import { classOf, slackMs } from './admission.js';
+import { priorityClassOf, slackMs } from './admission.js';
 import { PassContext } from './pass-context.js';
-import { allows } from './placement-view.js';
+import { allowsRack } from './placement-view.js';
 import type { Unplaced, WaitReason } from './plan-step.js';
 import { ReplicaCounts } from './replica-counts.js';
 
@@ -172,7 +172,7 @@
 function* waitingReasons(ctx: PassContext, { kind, spec }: Wanted): Generator<Reason> {
   const racks = kind === 'job' ? spec.racks : [];
   const { hosts } = ctx.view;
-  const allowed = hosts.filter((host) => allows({ racks }, host));
+  const allowed = hosts.filter((host) => allowsRack({ racks }, host));
   const large = allowed.filter((host) => fits(spec.resources, host.capacity));
   const room = large.filter((host) => fits(spec.resources, ctx.view.room(host)));
   yield {
@@ -192,7 +192,7 @@
     const slack = slackMs(spec, nowMs);
     yield {
       code: 'order',
-      jobClass: classOf(spec, nowMs, waitedMs),
+      jobClass: priorityClassOf(spec, nowMs, waitedMs),
       share: ctx.usage.share(team),
       slackMs: Number.isFinite(slack) ? slack : undefined,
       waitedMs,
--- a/packages/decisions/src/policy/host-health.ts
+++ b/packages/decisions/src/policy/host-health.ts
@@ -126,13 +126,13 @@
   }
 
   /** Whether a quarantined host is owed a single task that shows whether it works again. */
-  wantsProbe(hostId: string, nowMs: number): boolean {
+  isProbeDue(hostId: string, nowMs: number): boolean {
     const quarantine = this.#quarantines.get(hostId);
     return quarantine !== undefined && !quarantine.probe && nowMs >= quarantine.probeAtMs;
   }
 
   /** Takes note that this attempt is the probe of its host. */
-  probing(hostId: string, taskId: string, attempt: number, nowMs: number): void {
+  startProbe(hostId: string, taskId: string, attempt: number, nowMs: number): void {
     const quarantine = this.#quarantines.get(hostId);
     if (!quarantine) return;
     const probe = { taskId, attempt, sinceMs: nowMs };
--- a/packages/decisions/src/policy/interference.ts
+++ b/packages/decisions/src/policy/interference.ts
@@ -14,19 +14,19 @@
  * The kind of a service or job: its name without the numbers at its end, so that tonight's
  * `route-build-20261202` is known from last night's.
  */
-export function kindOf(name: string): string {
+export function workloadKindOf(name: string): string {
   return name.replace(/(-?\d+)+$/, '') || name;
 }
 
 /** One measurement of a service's tail with what ran beside it at that time. */
-export interface TailSample {
+export interface TailLatencySample {
   readonly service: string;
   /** Tail latency as a part of the target: above 1 it is missed. */
   readonly tail: number;
   /** How busy the replica was: its use of its own processors, 0 to 1. */
   readonly load: number;
   /** The part of the host's processors that each batch kind used. */
-  readonly beside: ReadonlyMap<string, number>;
+  readonly batchCpuShares: ReadonlyMap<string, number>;
 }
 
 interface Estimate {
@@ -44,10 +44,10 @@
 export class InterferenceModel {
   readonly #services = new Map<string, Estimate>();
 
-  learn({ service, tail, load, beside }: TailSample): void {
+  learn({ service, tail, load, batchCpuShares }: TailLatencySample): void {
     const estimate = this.#services.get(service) ?? { base: 0.5, perLoad: 0, pairs: new Map() };
     this.#services.set(service, estimate);
-    const inputs = new Map([...beside].map(([kind, part]) => [kind, SCALE * part * load]));
+    const inputs = new Map([...batchCpuShares].map(([kind, part]) => [kind, SCALE * part * load]));
     let predicted = estimate.base + estimate.perLoad * load;
     let norm = 1 + load * load;
     for (const [kind, input] of inputs) {
@@ -61,7 +61,7 @@
       const pair = estimate.pairs.get(kind) ?? { weight: 0, seen: 0 };
       // Batch work beside a service never makes it faster: a negative cost is noise.
       pair.weight = Math.max(0, pair.weight + step * input);
-      if ((beside.get(kind) ?? 0) >= NOTICEABLE) pair.seen += 1;
+      if ((batchCpuShares.get(kind) ?? 0) >= NOTICEABLE) pair.seen += 1;
       estimate.pairs.set(kind, pair);
     }
   }
--- a/packages/decisions/src/policy/pass-context.ts
+++ b/packages/decisions/src/policy/pass-context.ts
@@ -8,7 +8,7 @@
 import { indexOf } from './manifest-index.js';
 import { PlacementView } from './placement-view.js';
 import type { PlanStep, WaitReason } from './plan-step.js';
-import { PAUSE, Pacer, act } from './plan-step.js';
+import { PAUSE, Pacer, actionStep } from './plan-step.js';
 import { TeamUsage } from './team-usage.js';
 
 /**
@@ -84,7 +84,7 @@
   }
 
   /** Whether a task's latest attempt goes on after this pass, as far as it is decided. */
-  goesOn({ taskId, state }: TaskState): boolean {
+  staysActive({ taskId, state }: TaskState): boolean {
     return (state === 'bound' || state === 'running') && !this.#revoked.has(taskId);
   }
 
@@ -94,18 +94,18 @@
     for (const hostId of memory?.health.quarantined.keys() ?? []) {
       const host = this.hosts.get(hostId);
       const open = host?.state === 'live' && !this.input.unreachable?.has(hostId);
-      if (open && memory?.health.wantsProbe(hostId, nowMs)) this.view.open(host);
+      if (open && memory?.health.isProbeDue(hostId, nowMs)) this.view.open(host);
     }
   }
 
   /** Why a task may not be placed, whatever is free; undefined where it may. */
   refusal(need: PlacementNeed, team: string): WaitReason | undefined {
     if (this.view.hosts.length === 0) return 'no-hosts';
-    if (!this.view.possible(need)) {
+    if (!this.view.canEverFit(need)) {
       const known = need.racks.length === 0 || need.racks.some((rack) => this.view.racks.has(rack));
       return known ? 'never-fits' : 'no-such-rack';
     }
-    if (!this.usage.everAllows(team, need.resources)) return 'exceeds-quota';
+    if (!this.usage.couldEverAllow(team, need.resources)) return 'exceeds-quota';
     return this.usage.allows(team, need.resources) ? undefined : 'quota';
   }
 
@@ -117,13 +117,21 @@
     this.usage.add(team, resources);
     this.#noteProbe(host, ref);
     this.#actions += 1;
-    return act({ type: 'bind', ...ref, kind, owner, hostId: host.hostId, resources, onOutage });
+    return actionStep({
+      type: 'bind',
+      ...ref,
+      kind,
+      owner,
+      hostId: host.hostId,
+      resources,
+      onOutage,
+    });
   }
 
   #noteProbe(host: HostState, { taskId, attempt }: AttemptRef): void {
     const { memory, nowMs = 0 } = this.input;
-    if (!memory?.health.wantsProbe(host.hostId, nowMs)) return;
-    memory.health.probing(host.hostId, taskId, attempt, nowMs);
+    if (!memory?.health.isProbeDue(host.hostId, nowMs)) return;
+    memory.health.startProbe(host.hostId, taskId, attempt, nowMs);
     this.view.close(host);
   }
 
@@ -131,7 +139,7 @@
   revoke({ taskId, attempt }: TaskState, reason: string): PlanStep {
     this.#revoked.add(taskId);
     this.#actions += 1;
-    return act({ type: 'revoke', taskId, attempt, reason });
+    return actionStep({ type: 'revoke', taskId, attempt, reason });
   }
 }
 
--- a/packages/decisions/src/policy/pending-job.ts
+++ b/packages/decisions/src/policy/pending-job.ts
@@ -44,16 +44,16 @@
   }
 
   /** A task whose identity belongs to a replica of a service that once had this name. */
-  get blocked(): string | undefined {
+  get blockedTaskId(): string | undefined {
     return this.#blocked;
   }
 
   /** The next attempt to bind, or undefined after the last. */
-  get head(): AttemptRef | undefined {
+  get nextAttempt(): AttemptRef | undefined {
     return this.#next;
   }
 
-  take(): void {
+  advance(): void {
     this.#taken += 1;
     this.#advance();
   }
--- a/packages/decisions/src/policy/placement-view.ts
+++ b/packages/decisions/src/policy/placement-view.ts
@@ -46,7 +46,7 @@
   }
 
   /** What is free on all hosts together. */
-  get free(): Resources {
+  get totalFree(): Resources {
     return this.#free;
   }
 
@@ -103,41 +103,41 @@
 
   /** The hosts that a task fits on, those with the fewest free cores first. */
   *candidates(need: Shape): Generator<HostState> {
-    if (this.knownFull(need)) return;
+    if (this.isKnownUnplaceable(need)) return;
     let found = false;
     for (let i = bucketOf(need.resources.cpu); i <= LAST_BUCKET; i += 1) {
       for (const host of this.#buckets[i] ?? []) {
-        if (allows(need, host) && fits(need.resources, this.room(host))) {
+        if (allowsRack(need, host) && fits(need.resources, this.room(host))) {
           found = true;
           yield host;
         }
       }
     }
-    if (!found) this.markFull(need);
+    if (!found) this.markUnplaceable(need);
   }
 
   /**
    * Whether a task of this shape, or one that asks for less, already found no host. Room only
    * shrinks during a pass, so thousands of tasks that wait alike are answered by the first.
    */
-  knownFull(need: Shape): boolean {
+  isKnownUnplaceable(need: Shape): boolean {
     return this.#full.some(
       (shape) => fits(shape.resources, need.resources) && covers(shape.racks, need.racks),
     );
   }
 
-  markFull({ resources, racks }: Shape): void {
+  markUnplaceable({ resources, racks }: Shape): void {
     this.#full.push({ resources, racks });
   }
 
   /** Whether some host could hold the task if it were empty. */
-  possible(need: Shape): boolean {
+  canEverFit(need: Shape): boolean {
     const { cpu, memoryMb, accelerators } = need.resources;
     const key = `${cpu} ${memoryMb} ${accelerators} ${need.racks.join(' ')}`;
     const known = this.#possible.get(key);
     if (known !== undefined) return known;
     const possible = this.#live.some(
-      (host) => allows(need, host) && fits(need.resources, host.capacity),
+      (host) => allowsRack(need, host) && fits(need.resources, host.capacity),
     );
     this.#possible.set(key, possible);
     return possible;
@@ -149,7 +149,7 @@
 }
 
 /** Whether the task may run on the host's rack. */
-export function allows(need: Pick<Shape, 'racks'>, host: HostState): boolean {
+export function allowsRack(need: Pick<Shape, 'racks'>, host: HostState): boolean {
   return need.racks.length === 0 || need.racks.includes(host.rack);
 }
 
--- a/packages/decisions/src/policy/plan-hosts.ts
+++ b/packages/decisions/src/policy/plan-hosts.ts
@@ -3,7 +3,7 @@
 import type { HostState } from '../control-fold.js';
 import type { PlanInput } from '../plan.js';
 import type { PlanStep } from './plan-step.js';
-import { PAUSE, Pacer, act } from './plan-step.js';
+import { PAUSE, Pacer, actionStep } from './plan-step.js';
 
 /**
  * Takes over what the platform's list says of hosts.
@@ -37,7 +37,7 @@
 }
 
 function hostAction({ hostId, rack, address, capacity, state }: HostState): PlanStep {
-  return act({ type: 'host', hostId, rack, address, capacity, state });
+  return actionStep({ type: 'host', hostId, rack, address, capacity, state });
 }
 
 function merged({ dataCentre: _dc, ...host }: ListedHost, known?: HostState): HostState {
--- a/packages/decisions/src/policy/plan-moves.ts
+++ b/packages/decisions/src/policy/plan-moves.ts
@@ -6,6 +6,6 @@
   const { fold, memory, nowMs = 0 } = ctx.input;
   for (const { taskId, reason } of memory?.colocation.review(fold, nowMs) ?? []) {
     const task = fold.tasks.get(taskId);
-    if (task && ctx.goesOn(task)) yield ctx.revoke(task, reason);
+    if (task && ctx.staysActive(task)) yield ctx.revoke(task, reason);
   }
 }
--- a/packages/decisions/src/policy/plan-revocations.ts
+++ b/packages/decisions/src/policy/plan-revocations.ts
@@ -35,6 +35,6 @@
     if (ctx.pacer.due()) yield PAUSE;
     const task = ctx.fold.tasks.get(taskId);
     if (ctx.actions >= MAX_REVOCATIONS) return;
-    if (task && ctx.goesOn(task)) yield ctx.revoke(task, reason);
+    if (task && ctx.staysActive(task)) yield ctx.revoke(task, reason);
   }
 }
--- a/packages/decisions/src/policy/plan-services.ts
+++ b/packages/decisions/src/policy/plan-services.ts
@@ -35,7 +35,7 @@
   const tasks: TaskState[] = [];
   for (const taskId of ctx.fold.index.of('service', name)?.live ?? []) {
     const task = ctx.fold.tasks.get(taskId);
-    if (task && ctx.goesOn(task)) tasks.push(task);
+    if (task && ctx.staysActive(task)) tasks.push(task);
   }
   return tasks;
 }
@@ -94,7 +94,7 @@
         { taskId: taskIdOf(dataCentre, name, first + i), attempt: 1 },
         team,
       );
-    } else if (yield* ctx.evictions.makeRoom(need, tier)) {
+    } else if (yield* ctx.evictions.freeCapacityFor(need, tier)) {
       ctx.usage.add(team, resources);
       yield unplaced(i, 1, 'eviction-pending');
     } else {
--- a/packages/decisions/src/policy/plan-shrunk-hosts.ts
+++ b/packages/decisions/src/policy/plan-shrunk-hosts.ts
@@ -1,10 +1,10 @@
-import { overfull } from '../rebind/overfull.js';
+import { overcommittedTasks } from '../rebind/overcommitted-hosts.js';
 import type { PassContext } from './pass-context.js';
 import type { PlanStep } from './plan-step.js';
 
 /** Revokes what a host that shrank can no longer hold. */
 export function* planShrunkHosts(ctx: PassContext): Generator<PlanStep> {
-  for (const task of overfull(ctx.fold, ctx.input.manifest)) {
-    if (ctx.goesOn(task)) yield ctx.revoke(task, 'the host has shrunk');
+  for (const task of overcommittedTasks(ctx.fold, ctx.input.manifest)) {
+    if (ctx.staysActive(task)) yield ctx.revoke(task, 'the host has shrunk');
   }
 }
--- a/packages/decisions/src/policy/plan-step.ts
+++ b/packages/decisions/src/policy/plan-step.ts
@@ -43,7 +43,7 @@
 
 export const PAUSE: PlanStep = { type: 'pause' };
 
-export const act = (action: ControlAction): PlanStep => ({ type: 'action', action });
+export const actionStep = (action: ControlAction): PlanStep => ({ type: 'action', action });
 
 /** So many look-ups may go by without a pause: together about a millisecond. */
 const LOOKUPS_PER_PAUSE = 500;
--- a/packages/decisions/src/policy/scheduling-memory.ts
+++ b/packages/decisions/src/policy/scheduling-memory.ts
@@ -31,12 +31,12 @@
   }
 
   /** Takes note that a task of the job was placed: its age starts again. */
-  progressed(job: string, nowMs: number): void {
+  restartWait(job: string, nowMs: number): void {
     this.#waitingSince.set(job, nowMs);
   }
 
   /** Forgets a job that waits for nothing. */
-  settled(job: string): void {
+  endWait(job: string): void {
     this.#waitingSince.delete(job);
   }
 
--- a/packages/decisions/src/policy/team-usage.ts
+++ b/packages/decisions/src/policy/team-usage.ts
@@ -42,7 +42,7 @@
   }
 
   /** Whether the team's whole quota would hold the task. */
-  everAllows(team: string, resources: Resources): boolean {
+  couldEverAllow(team: string, resources: Resources): boolean {
     const quota = this.#teams.get(team)?.quota;
     return quota !== undefined && fits(resources, quota);
   }
--- a/packages/decisions/src/rebind/control-node.ts
+++ b/packages/decisions/src/rebind/control-node.ts
@@ -11,14 +11,14 @@
 import { planPass } from '../plan.js';
 import type { SchedulingMemory } from '../policy/scheduling-memory.js';
 import type { PlanStep } from '../policy/plan-step.js';
-import { HostWatch } from './host-watch.js';
-import type { HeardPeer } from './lapse-watch.js';
-import { LapseWatch } from './lapse-watch.js';
+import { WorkerLiveness } from './worker-liveness.js';
+import type { ReceivedHello } from './lease-expiry-tracker.js';
+import { LeaseExpiryTracker } from './lease-expiry-tracker.js';
 import { memberKey } from './members.js';
-import type { WorkerAct } from './tend.js';
-import { tend } from './tend.js';
+import type { WorkerCommand } from './worker-commands.js';
+import { workerCommands } from './worker-commands.js';
 import type { LeaseTiming } from './timing.js';
-import { surelyPassed } from './timing.js';
+import { withClockDrift } from './timing.js';
 
 export interface ControlNodeOptions {
   /** The fold of the control stream, which others may read as well. */
@@ -61,9 +61,9 @@
 
   readonly #options: ControlNodeOptions;
 
-  readonly #lapses: LapseWatch;
+  readonly #lapses: LeaseExpiryTracker;
 
-  readonly #hosts: HostWatch;
+  readonly #hosts: WorkerLiveness;
 
   readonly #memberSince = new Map<string, number>();
 
@@ -76,8 +76,8 @@
   constructor(options: ControlNodeOptions) {
     this.#options = options;
     this.fold = options.fold;
-    this.#lapses = new LapseWatch(options.timing, options.startedAt);
-    this.#hosts = new HostWatch(options.timing.leaseMs);
+    this.#lapses = new LeaseExpiryTracker(options.timing, options.startedAt);
+    this.#hosts = new WorkerLiveness(options.timing.leaseMs);
   }
 
   /** The name under which this node holds a term: a restarted node is another holder. */
@@ -95,13 +95,13 @@
   }
 
   /** Notes what became of a record that was folded. */
-  folded({ left }: ApplyResult, now: number): void {
-    if (left) this.#lapses.left(left, now);
+  onFolded({ left }: ApplyResult, now: number): void {
+    if (left) this.#lapses.onMembersLeft(left, now);
   }
 
   /** Notes that the fold was put in place as a whole: who left before is not known. */
-  restored(now: number): void {
-    this.#lapses.restored(now);
+  onRestored(now: number): void {
+    this.#lapses.onRestored(now);
   }
 
   /**
@@ -109,18 +109,18 @@
    *
    * @param startedAt - When that read was sent off: it may have missed what was written later.
    */
-  readToEnd(startedAt: number): void {
+  onReadToEnd(startedAt: number): void {
     this.#readStartedAt = Math.max(startedAt, this.#readStartedAt ?? -Infinity);
   }
 
   /** Takes a peer's hello: whoever says that it folded a revocation renews that lease no more. */
-  heard(peer: HeardPeer): void {
-    this.#lapses.heard(peer);
+  onHello(peer: ReceivedHello): void {
+    this.#lapses.onHello(peer);
   }
 
   /** Takes a worker's report for the next pass. */
-  reported(asked: AskedReport, now: number): void {
-    this.#hosts.heard(asked.report.hostId, now);
+  onReport(asked: AskedReport, now: number): void {
+    this.#hosts.onReport(asked.report.hostId, now);
     if (this.#reports.length < REPORT_LIMIT) this.#reports.push(asked);
   }
 
@@ -135,13 +135,13 @@
   }
 
   /** What to tell a worker, judged by a report that has just come. */
-  tend(report: WorkerReport, now: number): Generator<WorkerAct, void> {
+  commandsFor(report: WorkerReport, now: number): Generator<WorkerCommand, void> {
     const age = this.readAge(now);
     const { staleMs } = this.#options.timing;
-    return tend(this.fold, report, {
+    return workerCommands(this.fold, report, {
       // A node that was restarted must not act before it has folded what it may have promised.
       member: this.#isMember(),
-      fresh: age < staleMs,
+      upToDate: age < staleMs,
       nearlyStale: age >= staleMs * NEARLY_STALE,
     });
   }
@@ -195,7 +195,7 @@
         said.add(key);
       }
     }
-    yield* this.#lapses.due(this.fold, this.key, now);
+    yield* this.#lapses.expiredAttempts(this.fold, this.key, now);
     yield* this.#silentMembers(now);
     yield* this.#revokeUnreachable(unreachable);
   }
@@ -206,9 +206,9 @@
       const key = memberKey(member.nodeId, member.incarnation);
       const since = this.#memberSince.get(key) ?? now;
       this.#memberSince.set(key, since);
-      const heardAt = Math.max(this.#lapses.heardAt(member) ?? since, since);
+      const heardAt = Math.max(this.#lapses.lastHelloAt(member) ?? since, since);
       const { nodeId, incarnation } = member;
-      const silent = now - heardAt > surelyPassed(staleMs + leaseMs);
+      const silent = now - heardAt > withClockDrift(staleMs + leaseMs);
       if (key !== this.key && silent) yield { type: 'leave', nodeId, incarnation };
     }
   }
--- a/packages/decisions/src/rebind/lapse-watch.ts
+++ b/packages/decisions/src/rebind/lease-expiry-tracker.ts
@@ -3,10 +3,10 @@
 import type { Member } from './members.js';
 import { memberKey } from './members.js';
 import type { LeaseTiming } from './timing.js';
-import { surelyPassed } from './timing.js';
+import { withClockDrift } from './timing.js';
 
 /** What a peer said about itself, and when this node heard it on its own monotonic clock. */
-export interface HeardPeer {
+export interface ReceivedHello {
   readonly nodeId: string;
   readonly incarnation: string;
   readonly controlOffset: number;
@@ -50,12 +50,12 @@
  * Attempts with `keep` are renewed however old the sender's read is, so waiting proves nothing
  * about them: they need the promise of every node that was a member since they were bound.
  */
-export class LapseWatch {
+export class LeaseExpiryTracker {
   readonly #timing: LeaseTiming;
 
   #blindUntil: number;
 
-  readonly #heard = new Map<string, HeardPeer>();
+  readonly #heard = new Map<string, ReceivedHello>();
 
   readonly #left = new Map<string, number>();
 
@@ -67,31 +67,31 @@
     this.#blindUntil = startedAt;
   }
 
-  heard(peer: HeardPeer): void {
+  onHello(peer: ReceivedHello): void {
     this.#heard.set(memberKey(peer.nodeId, peer.incarnation), peer);
   }
 
   /** Notes that the fold was put in place as a whole, which does not tell who left before. */
-  restored(now: number): void {
+  onRestored(now: number): void {
     this.#blindUntil = now;
   }
 
   /** When a member was last heard, or undefined where it never was. */
-  heardAt(member: Member): number | undefined {
+  lastHelloAt(member: Member): number | undefined {
     return this.#heard.get(memberKey(member.nodeId, member.incarnation))?.at;
   }
 
   /** Notes memberships that a record ended. */
-  left(keys: readonly string[], now: number): void {
+  onMembersLeft(keys: readonly string[], now: number): void {
     for (const key of keys) this.#left.set(key, now);
   }
 
   /** Yields each revoked attempt whose lease has surely lapsed. */
-  *due(fold: ControlFold, self: string, now: number): Generator<EndedAction> {
+  *expiredAttempts(fold: ControlFold, self: string, now: number): Generator<EndedAction> {
     this.#forget(fold, now);
     for (const task of revokedTasks(fold)) {
       const bound = this.#lastCheck(fold, task, this.#note(fold, task, now), self);
-      if (bound !== undefined && now >= bound + surelyPassed(this.#timing.leaseMs)) {
+      if (bound !== undefined && now >= bound + withClockDrift(this.#timing.leaseMs)) {
         const { taskId, attempt } = task;
         yield { type: 'ended', taskId, attempt, outcome: 'lapsed', proof: 'lease' };
       }
@@ -120,7 +120,7 @@
     revoked: Revoked,
     self: string,
   ): number | undefined {
-    const staleMs = surelyPassed(this.#timing.staleMs);
+    const staleMs = withClockDrift(this.#timing.staleMs);
     const keep = task.onOutage === 'keep';
     if (keep && fold.members.lastLeave > task.boundOffset) return undefined;
     let latest = Math.max(revoked.seenAt, this.#blindUntil + staleMs);
@@ -141,7 +141,7 @@
 
   #forget(fold: ControlFold, now: number): void {
     const { leaseMs, staleMs } = this.#timing;
-    const over = now - surelyPassed(staleMs + leaseMs);
+    const over = now - withClockDrift(staleMs + leaseMs);
     for (const [key, leftAt] of this.#left) {
       if (leftAt < over) this.#left.delete(key);
     }
--- a/packages/decisions/src/rebind/overfull.ts
+++ b/packages/decisions/src/rebind/overcommitted-hosts.ts
@@ -6,7 +6,10 @@
  * The attempts to revoke where a host has shrunk below what is committed on it. The fold refuses
  * new bindings there, but what already runs would go on overloading the host.
  */
-export function* overfull(fold: ControlFold, manifest: Manifest): Generator<TaskState, void> {
+export function* overcommittedTasks(
+  fold: ControlFold,
+  manifest: Manifest,
+): Generator<TaskState, void> {
   for (const host of fold.hosts.values()) {
     if (host.state !== 'gone' && !fits(host.committed, host.capacity)) {
       yield* victims(fold, host, manifest);
--- a/packages/decisions/src/rebind/timing.ts
+++ b/packages/decisions/src/rebind/timing.ts
@@ -16,6 +16,6 @@
 const CLOCK_STRETCH = 1.025;
 
 /** How long to wait, on any clock, for `ms` to have surely passed on every other clock. */
-export function surelyPassed(ms: number): number {
+export function withClockDrift(ms: number): number {
   return ms * CLOCK_STRETCH;
 }
--- a/packages/decisions/src/rebind/tend.ts
+++ b/packages/decisions/src/rebind/worker-commands.ts
@@ -2,17 +2,17 @@
 import type { ControlFold, TaskState } from '../control-fold.js';
 
 /** What a node should tell a worker about one attempt. */
-export interface WorkerAct {
+export interface WorkerCommand {
   readonly type: 'start' | 'renew' | 'checkpoint' | 'stop';
   readonly task: Pick<TaskState, 'taskId' | 'attempt'>;
 }
 
 /** What the node may do at this moment; judged after the report's heartbeat was taken. */
-export interface TendPermit {
+export interface CommandPermit {
   /** Whether the node has caught up and is a member. */
   readonly member: boolean;
   /** Whether its last whole read of the log began less than the bound ago. */
-  readonly fresh: boolean;
+  readonly upToDate: boolean;
   /** Whether that read will soon be too old: what may lapse is worth a checkpoint now. */
   readonly nearlyStale: boolean;
 }
@@ -21,11 +21,11 @@
  * What brings a worker to what the control stream says, given its report. The messages must
  * carry the report's heartbeat and incarnation, and may be sent at any later time.
  */
-export function* tend(
+export function* workerCommands(
   fold: ControlFold,
   report: WorkerReport,
-  permit: TendPermit,
-): Generator<WorkerAct, void> {
+  permit: CommandPermit,
+): Generator<WorkerCommand, void> {
   if (!permit.member) return;
   const listed = new Map(report.tasks.map((seen) => [`${seen.taskId}#${seen.attempt}`, seen]));
   for (const taskId of fold.hosts.get(report.hostId)?.tasks ?? []) {
@@ -39,8 +39,8 @@
   task: TaskState,
   seen: TaskReport | undefined,
   report: WorkerReport,
-  permit: TendPermit,
-): Generator<WorkerAct, void> {
+  permit: CommandPermit,
+): Generator<WorkerCommand, void> {
   if (task.state === 'revoked') {
     if (seen?.state === 'running' && task.kind === 'job') yield { type: 'checkpoint', task };
     if (!seen || seen.state === 'running') yield { type: 'stop', task };
@@ -51,10 +51,10 @@
   }
 }
 
-function* renew(task: TaskState, permit: TendPermit): Generator<WorkerAct, void> {
+function* renew(task: TaskState, permit: CommandPermit): Generator<WorkerCommand, void> {
   // A renewal by a node that cannot hear of revocations would make a lease last for ever, and
   // the task could then never move safely.
-  if (!permit.fresh && task.onOutage !== 'keep') return;
+  if (!permit.upToDate && task.onOutage !== 'keep') return;
   yield { type: 'renew', task };
   if (permit.nearlyStale && task.onOutage !== 'keep') yield { type: 'checkpoint', task };
 }
@@ -64,13 +64,13 @@
  * end. An attempt of another incarnation may be running unlisted, or over: its place is taken by
  * the next attempt. A node with an old fold could start what has long been over.
  */
-function mayStart(task: TaskState, report: WorkerReport, permit: TendPermit): boolean {
-  if (task.state !== 'bound' || !permit.fresh || report.orphans) return false;
+function mayStart(task: TaskState, report: WorkerReport, permit: CommandPermit): boolean {
+  if (task.state !== 'bound' || !permit.upToDate || report.orphans) return false;
   return task.incarnation === report.incarnation;
 }
 
 /** Stops what the fold knows to be over; of what it does not know yet it says nothing. */
-function* stopSurplus(fold: ControlFold, report: WorkerReport): Generator<WorkerAct, void> {
+function* stopSurplus(fold: ControlFold, report: WorkerReport): Generator<WorkerCommand, void> {
   for (const seen of report.tasks) {
     const task = seen.state === 'running' ? fold.tasks.get(seen.taskId) : undefined;
     const over = task && task.attempt === seen.attempt && task.state === 'ended';
--- a/packages/decisions/src/rebind/host-watch.ts
+++ b/packages/decisions/src/rebind/worker-liveness.ts
@@ -4,7 +4,7 @@
 const LEAST_PART_HEARD = 0.5;
 
 /** Knows which workers have been silent for so long that their leases must be running out. */
-export class HostWatch {
+export class WorkerLiveness {
   readonly #silenceMs: number;
 
   readonly #heardAt = new Map<string, number>();
@@ -16,7 +16,7 @@
     this.#silenceMs = silenceMs;
   }
 
-  heard(hostId: string, now: number): void {
+  onReport(hostId: string, now: number): void {
     this.#heardAt.set(hostId, now);
   }
 
--- a/packages/decisions/src/requests/key-table.ts
+++ b/packages/decisions/src/requests/key-table.ts
@@ -1,5 +1,5 @@
 /** How a key's only run ended. */
-export type RunEnd<A> =
+export type RunOutcome<A> =
   | { readonly type: 'answer'; readonly answer: A; readonly bytes: number }
   | { readonly type: 'ran' | 'unknown' | 'not-run' };
 
@@ -115,7 +115,7 @@
    * @param ageMs - The time since the caller first sent the key, by the caller's word; undefined
    *   where it does not say: then the key may be as old as the window.
    */
-  begin(key: string, fingerprint: string, ageMs: number | undefined, now: number): KeyVerdict<A> {
+  start(key: string, fingerprint: string, ageMs: number | undefined, now: number): KeyVerdict<A> {
     const known = this.#entries.get(key);
     if (known) return verdictOf(known, fingerprint);
     this.#dropOld(now);
@@ -130,7 +130,7 @@
   }
 
   /** Takes down how the run ended. A key that did not run is forgotten: it may run later. */
-  end(key: string, end: RunEnd<A>): void {
+  end(key: string, end: RunOutcome<A>): void {
     const entry = this.#entries.get(key);
     if (!entry) return;
     if (end.type === 'not-run') {
--- a/packages/decisions/src/requests/retry-budget.ts
+++ b/packages/decisions/src/requests/retry-budget.ts
@@ -14,17 +14,17 @@
   #saved = MAX_SAVED;
 
   /** Counts a request that came in. */
-  earn(): void {
+  addRequest(): void {
     this.#saved = Math.min(MAX_SAVED, this.#saved + EARNED_PER_REQUEST);
   }
 
-  get canSpend(): boolean {
+  get hasToken(): boolean {
     return this.#saved >= 1;
   }
 
   /** @returns Whether a retry is allowed; it is then spent. */
-  spend(): boolean {
-    if (!this.canSpend) return false;
+  takeToken(): boolean {
+    if (!this.hasToken) return false;
     this.#saved -= 1;
     return true;
   }
--- a/packages/decisions/src/snapshot-parts.ts
+++ b/packages/decisions/src/snapshot-parts.ts
@@ -32,7 +32,7 @@
 }
 
 /** A snapshot whose parts are all there. */
-export interface WholeSnapshot {
+export interface CompleteSnapshot {
   readonly upTo: number;
   readonly text: string;
 }
@@ -45,7 +45,7 @@
   readonly #open = new Map<string, OpenSnapshot>();
 
   /** @returns The snapshot that this part completes, or undefined. */
-  take(part: SnapshotPart): WholeSnapshot | undefined {
+  take(part: SnapshotPart): CompleteSnapshot | undefined {
     const open = this.#openFor(part);
     if (open.parts !== part.parts || open.upTo !== part.upTo) return undefined;
     if (part.part >= open.parts) return undefined;
--- a/packages/decisions/src/stream-reader.ts
+++ b/packages/decisions/src/stream-reader.ts
@@ -1,7 +1,7 @@
 import type { z } from 'zod';
 import type { LogEntry } from '@redwingcrank/protocol';
 import { snapshotPartSchema } from '@redwingcrank/protocol';
-import type { WholeSnapshot } from './snapshot-parts.js';
+import type { CompleteSnapshot } from './snapshot-parts.js';
 import { SnapshotCollector } from './snapshot-parts.js';
 import type { StreamFold } from './stream-fold.js';
 
@@ -83,7 +83,7 @@
     return this.#restore(reading.data) !== undefined;
   }
 
-  #collect({ offset, value }: LogEntry): WholeSnapshot | undefined {
+  #collect({ offset, value }: LogEntry): CompleteSnapshot | undefined {
     const part = snapshotPartSchema.safeParse(value);
     const whole = part.success ? this.#collector.take(part.data) : undefined;
     if (whole) this.#snapshotOffset = offset;
@@ -98,7 +98,7 @@
     return [];
   }
 
-  #recover({ upTo, text }: WholeSnapshot): V[] {
+  #recover({ upTo, text }: CompleteSnapshot): V[] {
     const reading = this.#schema.safeParse(parseJson(text));
     if (!reading.success || reading.data.offset !== upTo) return [];
     return this.#restore(reading.data) ?? [];
--- a/packages/decisions/src/test/colocation_test.ts
+++ b/packages/decisions/src/test/colocation_test.ts
@@ -100,11 +100,11 @@
     const [loud, quiet] = [random.int(0, 10) / 32, random.int(0, 10) / 32];
     const load = random.int(40, 100) / 100;
     const tail = 0.5 + load * (0.1 + cost * loud) + random.int(-5, 5) / 100;
-    const beside = new Map([
+    const batchCpuShares = new Map([
       ['loud', loud],
       ['quiet', quiet],
     ]);
-    bench.colocation.model.learn({ service: 'slow', tail, load, beside });
+    bench.colocation.model.learn({ service: 'slow', tail, load, batchCpuShares });
   }
   const { model } = bench.colocation;
   assert.ok(model.cost('slow', 'loud') > 1.5, `loud ${model.cost('slow', 'loud')}`);
--- a/packages/decisions/src/test/lapse-watch_test.ts
+++ b/packages/decisions/src/test/lease-expiry-tracker_test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { ControlAction, ControlRecord } from '@redwingcrank/protocol';
-import { ControlFold, LapseWatch } from '../index.js';
+import { ControlFold, LeaseExpiryTracker } from '../index.js';
 
 const TIMING = { leaseMs: 1000, staleMs: 5000 };
 const STRETCH = 1.025;
@@ -16,7 +16,7 @@
 class Script {
   readonly fold = new ControlFold();
 
-  readonly watch = new LapseWatch(TIMING, BEGAN);
+  readonly watch = new LeaseExpiryTracker(TIMING, BEGAN);
 
   #now = BEGAN;
 
@@ -46,17 +46,17 @@
 
   apply(record: ControlRecord): this {
     const { left = [] } = this.fold.apply(this.fold.offset + 1, record);
-    this.watch.left(left, this.#now);
+    this.watch.onMembersLeft(left, this.#now);
     return this;
   }
 
   hears(nodeId: string, at: number, controlOffset = this.fold.offset): this {
-    this.watch.heard({ nodeId, incarnation: '1', controlOffset, at });
+    this.watch.onHello({ nodeId, incarnation: '1', controlOffset, at });
     return this;
   }
 
   isOver(now: number): boolean {
-    return [...this.watch.due(this.fold, 'me/1', now)].length > 0;
+    return [...this.watch.expiredAttempts(this.fold, 'me/1', now)].length > 0;
   }
 }
 
@@ -95,7 +95,7 @@
 
 test('a process that took over a whole state does not know who left before', () => {
   const script = new Script('checkpoint').revoke().hears('peer', 300);
-  script.watch.restored(200);
+  script.watch.onRestored(200);
   assertOverAt(script, 200 + STALE + LEASE);
 });
 
--- a/packages/decisions/src/test/requests_test.ts
+++ b/packages/decisions/src/test/requests_test.ts
@@ -37,8 +37,8 @@
   const budget = new RetryBudget();
   let sent = 0;
   for (let i = 0; i < 1_000; i += 1) {
-    budget.earn();
-    if (budget.spend()) sent += 1;
+    budget.addRequest();
+    if (budget.takeToken()) sent += 1;
   }
   assert.ok(sent >= 100 && sent <= 110, `${sent} retries`);
 });
--- a/packages/experiments/src/scheduling/fake-hosts.ts
+++ b/packages/experiments/src/scheduling/fake-hosts.ts
@@ -1,6 +1,6 @@
 import type { ControlAction, Job, ListedHost, WorkerReport } from '@redwingcrank/protocol';
 import type { ControlFold, RandomSource, TaskState } from '@redwingcrank/decisions';
-import { kindOf } from '@redwingcrank/decisions';
+import { workloadKindOf } from '@redwingcrank/decisions';
 import type { HiddenTruth } from './truth.js';
 import { STEP_MS } from './truth.js';
 
@@ -101,7 +101,7 @@
     for (const task of tasks) {
       if (task?.kind === 'job') {
         const cores = this.#coresOf(task);
-        const kind = kindOf(task.owner);
+        const kind = workloadKindOf(task.owner);
         beside.set(kind, (beside.get(kind) ?? 0) + cores / cpu);
         usage.push(this.#usageOf(task, cores));
         yield* this.#runTask(task, cores, nowMs);
@@ -127,7 +127,7 @@
     const { taskId, attempt } = task;
     if (task.state === 'bound') yield { type: 'running', taskId, attempt };
     if (task.state === 'revoked') yield* this.#stop(task, nowMs);
-    const tail = truth.tail(kindOf(task.owner), nowMs, beside);
+    const tail = truth.tail(workloadKindOf(task.owner), nowMs, beside);
     this.samples += 1;
     if (tail > 1) this.late += 1;
     const noise = 1 + random.int(-NOISE_PERCENT, NOISE_PERCENT) / 100;
--- a/packages/experiments/src/scheduling/variants.ts
+++ b/packages/experiments/src/scheduling/variants.ts
@@ -2,7 +2,7 @@
 import type {
   ControlFold,
   HostState,
-  Move,
+  TaskMove,
   PlacementNeed,
   PlacementView,
   RandomSource,
@@ -20,7 +20,7 @@
 
   observe(_fold: ControlFold, _manifest: Manifest, _report: WorkerReport, _nowMs: number): void {}
 
-  moves(_fold: ControlFold, _nowMs: number): Iterable<Move> {
+  moves(_fold: ControlFold, _nowMs: number): Iterable<TaskMove> {
     return [];
   }
 
@@ -95,7 +95,7 @@
     this.#streaks.set(report.hostId, settled ? streak : 0);
   }
 
-  override *moves(fold: ControlFold, nowMs: number): Generator<Move> {
+  override *moves(fold: ControlFold, nowMs: number): Generator<TaskMove> {
     for (const [hostId, streak] of this.#streaks) {
       const tasks = [...(fold.hosts.get(hostId)?.tasks ?? [])]
         .map((taskId) => fold.tasks.get(taskId))
@@ -124,7 +124,7 @@
     this.#colocation.observe(...args);
   }
 
-  override moves(fold: ControlFold, nowMs: number): Generator<Move> {
+  override moves(fold: ControlFold, nowMs: number): Generator<TaskMove> {
     return this.#colocation.review(fold, nowMs);
   }
 
--- a/packages/fuzz/src/one-place/model-node.ts
+++ b/packages/fuzz/src/one-place/model-node.ts
@@ -8,7 +8,7 @@
   WorkerReport,
 } from '@redwingcrank/protocol';
 import { BestFit, ControlFold, ControlNode } from '@redwingcrank/decisions';
-import type { HeardPeer, WorkerAct } from '@redwingcrank/decisions';
+import type { ReceivedHello, WorkerCommand } from '@redwingcrank/decisions';
 import type { Coverage } from '../coverage.js';
 import type { ModelLog } from './model-log.js';
 import type { ModelWorker } from './model-worker.js';
@@ -170,9 +170,9 @@
       if (this.#pollSentAt === now) this.#pollSentAt = undefined;
       if (from !== this.#control.fold.offset + 1) return;
       for (const { offset, value } of entries) {
-        this.#control.folded(this.#control.fold.apply(offset, value), this.#clock());
+        this.#control.onFolded(this.#control.fold.apply(offset, value), this.#clock());
       }
-      if (atEnd) this.#control.readToEnd(now);
+      if (atEnd) this.#control.onReadToEnd(now);
     };
     this.#world.log.read(this.nodeId, from, this.#answer(handle));
   }
@@ -189,10 +189,10 @@
     }
   }
 
-  #hear(hello: Omit<HeardPeer, 'at'>): void {
+  #hear(hello: Omit<ReceivedHello, 'at'>): void {
     const at = this.#clock();
     this.#heardAt.set(hello.nodeId, at);
-    this.#control.heard({ ...hello, at });
+    this.#control.onHello({ ...hello, at });
   }
 
   #tendAll(): void {
@@ -202,7 +202,7 @@
       if (network.random.int(0, 1) === 1) {
         const act = (report: WorkerReport, askedOffset: number): void => {
           this.#reported({ askedOffset, report });
-          const acts = [...this.#control.tend(report, this.#clock())];
+          const acts = [...this.#control.commandsFor(report, this.#clock())];
           const generation = this.#generation;
           this.#world.time.after(network.random.int(0, CHECK_TO_SEND_MS), () => {
             if (generation !== this.#generation || acts.length === 0) return;
@@ -228,7 +228,7 @@
     });
   }
 
-  #send(worker: ModelWorker, report: WorkerReport, acts: readonly WorkerAct[]): void {
+  #send(worker: ModelWorker, report: WorkerReport, acts: readonly WorkerCommand[]): void {
     const { incarnation, heartbeat } = report;
     const stamp = { incarnation, heartbeat, leaseMs: TIMING.leaseMs };
     for (const { type, task } of acts) {
@@ -250,13 +250,13 @@
   }
 
   #reported(asked: AskedReport): void {
-    this.#control.reported(asked, this.#clock());
+    this.#control.onReport(asked, this.#clock());
     const holder = this.#control.fold.holder?.split('/')[0];
     const { nodes, network } = this.#world;
     const peer = nodes.find((node) => node.nodeId === holder && node !== this);
     if (!peer) return;
     network.send(this.nodeId, peer.nodeId, () =>
-      peer.#run(() => peer.#control.reported(asked, peer.#clock())),
+      peer.#run(() => peer.#control.onReport(asked, peer.#clock())),
     );
   }
 
--- a/packages/fuzz/src/targets/request-sends.ts
+++ b/packages/fuzz/src/targets/request-sends.ts
@@ -1,5 +1,5 @@
 import fc from 'fast-check';
-import { SEND_EVENTS, maySend, outcomeIn, requestChart } from '@redwingcrank/decisions';
+import { SEND_EVENTS, maySend, unansweredOutcome, requestChart } from '@redwingcrank/decisions';
 import type { RequestState } from '@redwingcrank/decisions';
 import type { Coverage } from '../coverage.js';
 
@@ -30,7 +30,7 @@
   if (state === undefined) throw new Error(`no state after ${ends.join(', ')}`);
   if (runs > 1 && !idempotent) throw new Error(`ran ${runs} times`);
   const answered = requestChart.isFinal(state);
-  if (!answered && outcomeIn(state) === 'not-run' && runs > 0) {
+  if (!answered && unansweredOutcome(state) === 'not-run' && runs > 0) {
     throw new Error(`told not-run after ${runs} runs`);
   }
 }
--- a/packages/fuzz/src/targets/request-world.ts
+++ b/packages/fuzz/src/targets/request-world.ts
@@ -1,4 +1,4 @@
-import type { KeyMemory, KeyVerdict, RunEnd } from '@redwingcrank/decisions';
+import type { KeyMemory, KeyVerdict, RunOutcome } from '@redwingcrank/decisions';
 import { KeyTable, keyHome } from '@redwingcrank/decisions';
 import type { Coverage } from '../coverage.js';
 import type { RequestStep } from './requests.js';
@@ -139,7 +139,7 @@
 
   #begin(home: Host, send: Send): void {
     const sizeBefore = home.table.size;
-    const verdict = home.table.begin(send.key, send.content, send.ageMs, this.#now);
+    const verdict = home.table.start(send.key, send.content, send.ageMs, this.#now);
     if (home.table.size < sizeBefore + (verdict.type === 'run' ? 1 : 0)) {
       this.#coverage.hit('entry-dropped');
     }
@@ -175,7 +175,7 @@
     if (runs > 1) throw new Error(`${run.key} ran ${runs} times`);
   }
 
-  #end(index: number, type: RunEnd<string>['type']): void {
+  #end(index: number, type: RunOutcome<string>['type']): void {
     const run = this.#open[index % Math.max(1, this.#open.length)];
     if (!run || (type === 'answer' && !run.started) || (type === 'not-run' && run.started)) return;
     if (type === 'unknown' && !run.started) return;
