--- a/packages/fuzz/src/jobs/calm-phase.ts
+++ b/packages/fuzz/src/jobs/calm-phase.ts
@@ -1,4 +1,4 @@
-import { RENEW_RETRY_MS, RENEW_WAIT_MS, ROUND_MS } from '@redwingcrank/runtime/leases';
+import { RENEW_RETRY_MS, RENEW_WAIT_MS, MAX_ROUND_INTERVAL_MS } from '@redwingcrank/runtime/leases';
 import type { JobsWorld } from './jobs-world.js';
 import { ACK_WAIT_MS, CALM_STEP_MS, PRESENT_AWAY_MS, TAKEOVER_AWAY_MS } from './lease-figures.js';
 import type { ModelLeader } from './model-leader.js';
@@ -100,7 +100,7 @@
 
   #round(): void {
     const { present, nowMs } = this.#world;
-    this.#roundMs = nowMs + ROUND_MS;
+    this.#roundMs = nowMs + MAX_ROUND_INTERVAL_MS;
     this.#world.list(present);
     if (this.isStoring) present.sendStops(nowMs);
     else this.#world.round(present, 'answered');
--- a/packages/fuzz/src/jobs/lease-figures.ts
+++ b/packages/fuzz/src/jobs/lease-figures.ts
@@ -1,4 +1,9 @@
-import { CONFIRMED_LEASE_MS, LEASE_MS, ROUND_MS, surelyOverMs } from '@redwingcrank/runtime/leases';
+import {
+  CONFIRMED_LEASE_MS,
+  LEASE_MS,
+  MAX_ROUND_INTERVAL_MS,
+  withClockDrift,
+} from '@redwingcrank/runtime/leases';
 
 /** After an answer with ends, the next renewal waits for so long at most until they are stored. */
 export const ACK_WAIT_MS = 400;
@@ -7,13 +12,13 @@
 export const CALM_STEP_MS = 50;
 
 /** One round to release a task, and the steps in which it is noticed, ordered and carried out. */
-const REACTION_MS = ROUND_MS + 3 * CALM_STEP_MS;
+const REACTION_MS = MAX_ROUND_INTERVAL_MS + 3 * CALM_STEP_MS;
 
 /**
  * A lasting task whose worker is gone is at work elsewhere after so long at the latest, where one
  * leader acts all the while: it may send one more renewal, and the lease of that must be over.
  */
-export const PRESENT_AWAY_MS = ACK_WAIT_MS + surelyOverMs(LEASE_MS) + REACTION_MS;
+export const PRESENT_AWAY_MS = ACK_WAIT_MS + withClockDrift(LEASE_MS) + REACTION_MS;
 
 /** The same counted from the newest record of a leader that is lost with the worker. */
-export const TAKEOVER_AWAY_MS = surelyOverMs(CONFIRMED_LEASE_MS) + REACTION_MS;
+export const TAKEOVER_AWAY_MS = withClockDrift(CONFIRMED_LEASE_MS) + REACTION_MS;
--- a/packages/fuzz/src/jobs/model-leader.ts
+++ b/packages/fuzz/src/jobs/model-leader.ts
@@ -8,7 +8,7 @@
   START_WINDOW_MS,
   StartViews,
   TermLeases,
-  surelyOverMs,
+  withClockDrift,
 } from '@redwingcrank/runtime/leases';
 import { DRAIN_MS, MAX_ATTEMPTS } from './jobs-oracle.js';
 import type { ModelNode } from './model-node.js';
@@ -117,12 +117,12 @@
     const presentMs = (): number => this.nowMs;
     this.#views = new StartViews(
       {
-        get freshMs() {
+        get completeAsOfMs() {
           return freshMs();
         },
       },
       {
-        get jobsFreshMs() {
+        get jobsCompleteAsOfMs() {
           return presentMs();
         },
       },
@@ -132,7 +132,7 @@
     this.#leases = new TermLeases(claim, this, former);
     this.scheduler = new Scheduler(
       {
-        leaseMs: surelyOverMs(LEASE_MS),
+        leaseMs: withClockDrift(LEASE_MS),
         inheritedLeaseMs: Math.max(0, former.generalEndMs - nowMs),
         standstillMs: Infinity,
         stopAgainMs: 1_000,
@@ -154,7 +154,7 @@
     const { changed, orders, acks } = decisions;
     const isCutShort = isOpen && decisions.isCutShort;
     const { silent, isComplete } = this.#silentWorkers(nowMs);
-    const isNews = this.#leases.noteSilent(silent, isComplete);
+    const isNews = this.#leases.updateSilent(silent, isComplete);
     const tells = resigns || isNews || changed.length === 0;
     const rec = tells ? this.#leases.record(resigns, nowMs) : undefined;
     const progress = changed.map((job) => ({ id: job.spec.id, text: job.encode() }));
@@ -192,7 +192,7 @@
     Object.assign(sent, { isAnswered: true });
     // An earlier attempt without an answer may run, whatever this one met with.
     const isUnknown = outcome === 'unknown' || (sent.mayRun && outcome !== 'done');
-    const settledMs = isUnknown ? sent.sentMs + surelyOverMs(sent.windowMs) : nowMs;
+    const settledMs = isUnknown ? sent.sentMs + withClockDrift(sent.windowMs) : nowMs;
     this.scheduler.answered(sent.order, isUnknown ? 'unknown' : outcome, nowMs, settledMs);
   }
 
@@ -202,7 +202,7 @@
     if (this.isOver || !known) return undefined;
     const leaseMs = Math.floor(Math.min(LEASE_MS, this.#leases.limitMs(id, nowMs)));
     const extend = this.#clocks.has(id) && !this.#lost.has(id) && leaseMs > 0;
-    if (extend) this.scheduler.leaseSent(id, nowMs + surelyOverMs(leaseMs));
+    if (extend) this.scheduler.leaseSent(id, nowMs + withClockDrift(leaseMs));
     return {
       token: this.epoch,
       ackedEnd: known.ackedEnd,
@@ -260,7 +260,7 @@
         this.settle(sent, mayRun ? 'unknown' : 'too-late', nowMs);
         return;
       }
-      this.scheduler.leaseSent(worker, nowMs + surelyOverMs(windowMs));
+      this.scheduler.leaseSent(worker, nowMs + withClockDrift(windowMs));
     }
     this.inFlight.push(sent);
   }
--- a/packages/fuzz/src/jobs/model-node.ts
+++ b/packages/fuzz/src/jobs/model-node.ts
@@ -3,7 +3,7 @@
   CLAIM_LEASE_MS,
   CONFIRMED_LEASE_MS,
   FormerLeases,
-  surelyOverMs,
+  withClockDrift,
 } from '@redwingcrank/runtime/leases';
 
 /** What a node reads of the work log that tells of leases; undefined for any other leader's word. */
@@ -46,7 +46,7 @@
   wake(nowMs: number): void {
     if (!this.#isFrozen) return;
     this.#isFrozen = false;
-    this.#former.viewBroken();
+    this.#former.viewReset();
     const newest = this.#missed ?? this.#present;
     this.#missed = undefined;
     if (newest) this.#recordRead(newest, nowMs);
@@ -73,7 +73,7 @@
       nonce: `${epoch}`,
       resigned: false,
       leasesMs: CLAIM_LEASE_MS,
-      formerMs: Math.max(surelyOverMs(leasesMs), this.#former.allEndMs - nowMs),
+      formerMs: Math.max(withClockDrift(leasesMs), this.#former.allEndMs - nowMs),
       silent: {},
       number: 0,
     };
--- a/packages/runtime/src/internal/claim-pace.ts
+++ b/packages/runtime/src/internal/claim-backoff.ts
@@ -31,7 +31,7 @@
 export const STORE_QUEUE_MS = 2_000;
 
 /** Keeps the claims of a node few while the store is slow. */
-export class ClaimPace {
+export class ClaimBackoff {
   #refusals = 0;
 
   #slowMs = -Infinity;
--- a/packages/runtime/src/internal/claim-order.ts
+++ b/packages/runtime/src/internal/claim-order.ts
@@ -1,9 +1,9 @@
 import { randomInt } from 'node:crypto';
 import {
-  CLAIM_ORDER_MS,
+  SMALL_NODE_CLAIM_DELAY_MS,
   CLAIM_SPREAD_MS,
   LARGE_CLAIM_SPREAD_MS,
-  LEADER_WRITE_MS,
+  LEADER_WRITE_INTERVAL_MS,
 } from './timing.js';
 import type { LeaderRecord } from './work-records.js';
 
@@ -17,10 +17,10 @@
 const MUCH = 2;
 
 /** A leader's records come no further apart than this with a quick store, in milliseconds. */
-const USUAL_GAP_MS = LEADER_WRITE_MS + 50;
+const USUAL_GAP_MS = LEADER_WRITE_INTERVAL_MS + 50;
 
 /** What a node sees of the role when it is free. */
-export interface FreeRole {
+export interface LeadershipVacancy {
   readonly leader: LeaderRecord | undefined;
   /** How far apart the leader's records came lately, in milliseconds. */
   readonly leaderGapMs: number;
@@ -58,7 +58,7 @@
   }
 
   /** Whether much larger nodes are to claim before this one. */
-  get isBehind(): boolean {
+  get yieldsToLarger(): boolean {
     const largest = this.#isTold ? this.#largestCores : Math.max(this.#largestCores, USUAL_CORES);
     return this.isMuchSmaller(largest);
   }
@@ -79,15 +79,19 @@
   }
 
   /** How long to wait before a claim, in milliseconds; drawn anew each time. */
-  waitMs({ leader, leaderGapMs, hasClaimed }: FreeRole): number {
-    if (!this.isBehind || hasClaimed) {
+  waitMs({ leader, leaderGapMs, hasClaimed }: LeadershipVacancy): number {
+    if (!this.yieldsToLarger || hasClaimed) {
       // Large nodes are few, and each draw beyond theirs would hold up the small ones.
       const isLarge = this.cores * MUCH >= USUAL_CORES;
       return randomInt(isLarge ? LARGE_CLAIM_SPREAD_MS : CLAIM_SPREAD_MS);
     }
     // At the first start the larger ones may start a little later. A store that was slower with the
     // leader's records by some time is so with reading the last one and with storing a claim.
-    const slowMs = leader ? 2 * Math.max(0, leaderGapMs - USUAL_GAP_MS) : CLAIM_ORDER_MS;
-    return CLAIM_ORDER_MS + Math.min(slowMs, CLAIM_ORDER_MS) + randomInt(CLAIM_SPREAD_MS);
+    const slowMs = leader ? 2 * Math.max(0, leaderGapMs - USUAL_GAP_MS) : SMALL_NODE_CLAIM_DELAY_MS;
+    return (
+      SMALL_NODE_CLAIM_DELAY_MS +
+      Math.min(slowMs, SMALL_NODE_CLAIM_DELAY_MS) +
+      randomInt(CLAIM_SPREAD_MS)
+    );
   }
 }
--- a/packages/runtime/src/internal/former-leases.ts
+++ b/packages/runtime/src/internal/former-leases.ts
@@ -1,4 +1,4 @@
-import { LEASE_MS, surelyOverMs } from './timing.js';
+import { LEASE_MS, withClockDrift } from './timing.js';
 import type { LeaderRecord } from './work-records.js';
 
 /**
@@ -62,7 +62,7 @@
   }
 
   /** The log is read anew from its newest records: some between may never be read. */
-  viewBroken(): void {
+  viewReset(): void {
     this.#isBroken = true;
   }
 
@@ -115,10 +115,10 @@
   }
 
   #presentEndMs({ node, nonce, leasesMs }: LeaderRecord): number {
-    const endMs = this.#heardMs + surelyOverMs(leasesMs);
+    const endMs = this.#heardMs + withClockDrift(leasesMs);
     if (node !== this.#node || this.#claims.has(nonce)) return endMs;
     // An earlier life of this node has renewed nothing since this one began.
-    return Math.min(endMs, this.#startedMs + surelyOverMs(LEASE_MS));
+    return Math.min(endMs, this.#startedMs + withClockDrift(LEASE_MS));
   }
 }
 
--- a/packages/runtime/src/internal/hand-over.ts
+++ b/packages/runtime/src/internal/hand-over.ts
@@ -1,11 +1,11 @@
 import { randomInt } from 'node:crypto';
 import type { ClaimOrder } from './claim-order.js';
 import {
-  HAND_OVER_AFTER_MS,
-  HAND_OVER_MISSED_MS,
-  OFFER_EVERY_MS,
+  HAND_OVER_MIN_TERM_MS,
+  HAND_OVER_BACKOFF_MS,
+  OFFER_INTERVAL_MS,
   OFFER_SPREAD_MS,
-  SUCCESSOR_MS,
+  SUCCESSOR_PRIORITY_MS,
 } from './timing.js';
 import type { LeaderRecord, OfferRecord } from './work-records.js';
 
@@ -52,11 +52,11 @@
     this.#leader = leader;
     if (before?.epoch === leader.epoch) return false;
     this.#sinceMs = nowMs;
-    this.#offerMs = nowMs + HAND_OVER_AFTER_MS + randomInt(OFFER_SPREAD_MS);
+    this.#offerMs = nowMs + HAND_OVER_MIN_TERM_MS + randomInt(OFFER_SPREAD_MS);
     const isMissed = before?.successor !== undefined && before.successor !== leader.node;
     if (isMissed) {
       this.#misses += 1;
-      this.#heedMs = nowMs + this.#misses * HAND_OVER_MISSED_MS;
+      this.#heedMs = nowMs + this.#misses * HAND_OVER_BACKOFF_MS;
     }
     return isMissed;
   }
@@ -64,7 +64,7 @@
   /** Any node offers to take the present leader's role: one offer at a time is enough. */
   offerSeen({ epoch }: OfferRecord, nowMs: number): void {
     if (epoch !== this.#leader?.epoch) return;
-    this.#offerMs = Math.max(this.#offerMs, nowMs + OFFER_EVERY_MS + randomInt(OFFER_SPREAD_MS));
+    this.#offerMs = Math.max(this.#offerMs, nowMs + OFFER_INTERVAL_MS + randomInt(OFFER_SPREAD_MS));
   }
 
   /** The offer that this node should make now. */
@@ -83,11 +83,11 @@
   isAccepted({ node, epoch, cores }: OfferRecord, nowMs: number): boolean {
     const isFit = node !== this.#node && this.#order.isMuchSmaller(cores);
     if (!isFit || epoch !== this.#leader?.epoch || epoch === this.#givenEpoch) return false;
-    return nowMs - this.#sinceMs >= HAND_OVER_AFTER_MS && nowMs >= this.#heedMs;
+    return nowMs - this.#sinceMs >= HAND_OVER_MIN_TERM_MS && nowMs >= this.#heedMs;
   }
 
   /** This node, which leads, gives the role to another one. */
-  given(epoch: number): void {
+  handedOver(epoch: number): void {
     this.#givenEpoch = epoch;
   }
 
@@ -95,7 +95,7 @@
    * Whether this life of the node has given the role up that the record still shows as its own: its
    * last record is stored, and not yet read.
    */
-  hasGiven({ epoch }: LeaderRecord): boolean {
+  hasHandedOver({ epoch }: LeaderRecord): boolean {
     return epoch === this.#givenEpoch;
   }
 
@@ -104,8 +104,8 @@
   }
 
   /** Until when others leave the claim to the successor that the leader has named. */
-  leftUntilMs({ successor }: LeaderRecord, seenMs: number): number {
+  successorPriorityEndMs({ successor }: LeaderRecord, seenMs: number): number {
     const isOther = successor !== undefined && successor !== this.#node;
-    return isOther ? seenMs + SUCCESSOR_MS : -Infinity;
+    return isOther ? seenMs + SUCCESSOR_PRIORITY_MS : -Infinity;
   }
 }
--- a/packages/runtime/src/internal/housekeeping.ts
+++ b/packages/runtime/src/internal/housekeeping.ts
@@ -39,7 +39,7 @@
   }
 
   /** The record of what was learned of images, where it is due. */
-  learned(weights: InterferenceWeights): KeyedWrite[] {
+  learnedWrites(weights: InterferenceWeights): KeyedWrite[] {
     if (steadyMs() < this.#learnedMs) return [];
     this.#learnedMs = steadyMs() + LEARNED_EVERY_MS;
     return [{ key: learnedKey(), value: encodeLearned(weights) }];
@@ -50,11 +50,14 @@
    * begin with it, in the callers' log: progress that went before its job would leave that as a new
    * one, and it would run again.
    */
-  forgotten(): KeyedWrite[] {
+  progressDeletions(): KeyedWrite[] {
     if (steadyMs() < this.#forgetMs) return [];
     this.#forgetMs = steadyMs() + FORGET_EVERY_MS;
     this.#deleteJobs();
-    return [...this.#table.outlived].map((id) => ({ key: progressKey(id), value: undefined }));
+    return [...this.#table.orphanedProgress].map((id) => ({
+      key: progressKey(id),
+      value: undefined,
+    }));
   }
 
   /** Rounds do not wait for it. What the store does not take is deleted another time. */
--- a/packages/runtime/src/internal/keyed-follower.ts
+++ b/packages/runtime/src/internal/keyed-follower.ts
@@ -77,7 +77,7 @@
   }
 
   /** When the view was last known to be complete, on the steady clock. */
-  get freshMs(): number {
+  get completeAsOfMs(): number {
     return this.#freshMs;
   }
 
@@ -95,13 +95,13 @@
    * How old the view becomes where nothing is written, while reads are answered as lately: when the
    * next one is, the newest that is known is from the wait of the one before.
    */
-  get usualAgeMs(): number {
+  get expectedAgeMs(): number {
     const { waitMs } = this.#settings;
-    return this.#gapMs + waitMs + 2 * this.usualReadMs + AGE_MARGIN_MS;
+    return this.#gapMs + waitMs + 2 * this.recentReadMs + AGE_MARGIN_MS;
   }
 
   /** What a read takes that does not wait for a record, in milliseconds: the slowest of the newest. */
-  get usualReadMs(): number {
+  get recentReadMs(): number {
     return Math.max(0, ...this.#tookMs);
   }
 
@@ -118,7 +118,7 @@
   }
 
   /** Ends the present pause. */
-  hurry(): void {
+  endPause(): void {
     this.#gap.end();
   }
 
@@ -128,13 +128,13 @@
     this.#next = undefined;
     this.#freshMs = -Infinity;
     this.#isLoaded = false;
-    this.hurry();
+    this.endPause();
   }
 
   /** From now on, how long to pause between reads, in milliseconds. */
   setGap(gapMs: number): void {
     this.#gapMs = gapMs;
-    this.hurry();
+    this.endPause();
   }
 
   stop(): void {
--- a/packages/runtime/src/internal/leader-term.ts
+++ b/packages/runtime/src/internal/leader-term.ts
@@ -11,20 +11,20 @@
 import { LeaderWriter } from './leader-writer.js';
 import { NO_STARTS, RoundPacing } from './round-pacing.js';
 import { silentWorkers } from './silent-workers.js';
-import { lookWhile } from './look-while.js';
+import { pollUntilSettled } from './poll-until-settled.js';
 import { StartViews } from './start-views.js';
 import { TermLeases } from './term-leases.js';
-import type { TermParts } from './term-parts.js';
+import type { TermDependencies } from './term-dependencies.js';
 import type { TermView } from './term-load.js';
-import { TermLoad, reachOf } from './term-load.js';
-import { createScheduler, takeOn } from './term-scheduler.js';
+import { TermLoad, reachabilityOf } from './term-load.js';
+import { createScheduler, loadJob } from './term-scheduler.js';
 import {
-  LEADER_WRITE_MS,
+  LEADER_WRITE_INTERVAL_MS,
   LEASE_MS,
-  ROUND_MS,
+  MAX_ROUND_INTERVAL_MS,
   START_WINDOW_MS,
-  STOP_LOOK_MS,
-  surelyOverMs,
+  STOP_POLL_INTERVAL_MS,
+  withClockDrift,
 } from './timing.js';
 import type { ConfigWatch } from './config-watch.js';
 import type { LinkListener } from './worker-link.js';
@@ -62,7 +62,7 @@
 
   readonly #workerList: WorkerList;
 
-  readonly #watchers: TermParts['watchers'];
+  readonly #watchers: TermDependencies['watchers'];
 
   readonly #links: WorkerLinks;
 
@@ -94,7 +94,16 @@
   constructor(
     record: LeaderRecord,
     claim: StoredClaim,
-    { port, settings, log, table, work, config, watchers, faults = new FaultLog(log) }: TermParts,
+    {
+      port,
+      settings,
+      log,
+      table,
+      work,
+      config,
+      watchers,
+      faults = new FaultLog(log),
+    }: TermDependencies,
   ) {
     this.#watchers = watchers;
     this.#record = record;
@@ -145,7 +154,7 @@
       formerLeasesMs: Math.max(0, Math.round(generalEndMs - steadyMs())),
       silentWorkers: namedEndMs.size,
     });
-    for (const job of this.#table.jobs.values()) takeOn(this.#scheduler, job);
+    for (const job of this.#table.jobs.values()) loadJob(this.#scheduler, job);
     this.#scheduler.inheritLeases(namedEndMs);
     this.#takeQueues();
     this.#scheduler.assume(this.#table.learned);
@@ -219,7 +228,7 @@
     if (outcome !== 'done') this.#pacing.wake();
   }
 
-  gone(worker: string, why: string): void {
+  workerEnded(worker: string, why: string): void {
     this.#scheduler.workerGone(worker, steadyMs(), why);
     this.#links.close(worker);
     this.#pacing.wake();
@@ -245,9 +254,9 @@
       key: progressKey(job.spec.id),
       value: job.encode(),
     }));
-    writes.push(...this.#housekeeping.forgotten());
-    writes.push(...this.#housekeeping.learned(this.#scheduler.learned));
-    const isQuiet = steadyMs() - this.#writtenMs >= LEADER_WRITE_MS;
+    writes.push(...this.#housekeeping.progressDeletions());
+    writes.push(...this.#housekeeping.learnedWrites(this.#scheduler.learned));
+    const isQuiet = steadyMs() - this.#writtenMs >= LEADER_WRITE_INTERVAL_MS;
     const resigns = this.#isResigning;
     const { silent, isComplete } = silentWorkers(
       this.#scheduler.workers.values(),
@@ -255,10 +264,11 @@
       this.#workerList.isLoaded,
       steadyMs(),
     );
-    const isNews = this.#leases.noteSilent(silent, isComplete && this.#isWhole);
+    const isNews = this.#leases.updateSilent(silent, isComplete && this.#isWhole);
     // Its own record goes with each append: read back, it tells that the append is stored. Deleted
     // records of callers are no sign of this node's life, and others may be the same as before.
-    const isDue = this.#leases.isLight || steadyMs() - this.#told.sentMs >= LEADER_WRITE_MS;
+    const isDue =
+      this.#leases.isCompact || steadyMs() - this.#told.sentMs >= LEADER_WRITE_INTERVAL_MS;
     const tells = resigns || isNews || isQuiet || (writes.length > 0 && isDue);
     if (tells) {
       const standby = this.#watchers?.standby;
@@ -272,7 +282,7 @@
       writes.push({ key: leaderKey(), value: encodeLeader(rec) });
     }
     const starts = this.#sendStops(decisions.orders);
-    this.#pacing.worked(beganMs);
+    this.#pacing.roundDone(beganMs);
     if (writes.length > 0) {
       const sentMs = steadyMs();
       if (!(await this.#write(writes))) {
@@ -292,7 +302,7 @@
     this.#pacing.send(starts);
     if (!decisions.isCutShort) return;
     if (limits === NO_STARTS) this.views.whenOpen(() => this.#pacing.wake());
-    else this.#pacing.wakeWithRoom();
+    else this.#pacing.wakeWhenCapacity();
   }
 
   /**
@@ -303,7 +313,7 @@
   async #write(writes: readonly KeyedWrite[]): Promise<boolean> {
     this.#load.appendSent();
     try {
-      return await lookWhile(this.#writer.write(writes), STOP_LOOK_MS, () => {
+      return await pollUntilSettled(this.#writer.write(writes), STOP_POLL_INTERVAL_MS, () => {
         if (this.#stopping.signal.aborted) return;
         this.#sendStops(this.#scheduler.decideStops(steadyMs()));
       });
@@ -322,15 +332,15 @@
     return {
       jobs: this.#scheduler.jobs.size,
       leaseLeftMs: this.#leases.limitMs('', steadyMs()),
-      ...reachOf(this.#scheduler.workers.values(), steadyMs()),
+      ...reachabilityOf(this.#scheduler.workers.values(), steadyMs()),
       ...this.#scheduler.backlog(steadyMs()),
     };
   }
 
   #waitMs(): number {
     const dueMs = this.#scheduler.nextDueMs();
-    if (dueMs === undefined) return ROUND_MS;
-    return Math.max(1, Math.min(ROUND_MS, dueMs - Date.now()));
+    if (dueMs === undefined) return MAX_ROUND_INTERVAL_MS;
+    return Math.max(1, Math.min(MAX_ROUND_INTERVAL_MS, dueMs - Date.now()));
   }
 
   #send(order: Order): void {
@@ -342,7 +352,7 @@
     link.order(order).catch((err) => {
       this.#failed('order', err);
       // Without any answer the task would be taken to be on its way to the worker for ever.
-      const settledMs = steadyMs() + surelyOverMs(START_WINDOW_MS);
+      const settledMs = steadyMs() + withClockDrift(START_WINDOW_MS);
       this.#scheduler.answered(order, 'unknown', steadyMs(), settledMs);
     });
   }
@@ -361,7 +371,7 @@
         // Nothing to decide: as often as this node writes, a round would find nothing new.
         return;
       case 'accepted':
-        takeOn(this.#scheduler, this.#table.jobs.get(change.id)!);
+        loadJob(this.#scheduler, this.#table.jobs.get(change.id)!);
         break;
       case 'cancelled':
         this.#scheduler.cancel(change.id, Date.now());
--- a/packages/runtime/src/internal/leader-watch.ts
+++ b/packages/runtime/src/internal/leader-watch.ts
@@ -66,7 +66,7 @@
   }
 
   /** Whether this node may claim the role as the process that schedules by this record is gone. */
-  isGone({ epoch }: LeaderRecord, nowMs: number): boolean {
+  hasProcessEnded({ epoch }: LeaderRecord, nowMs: number): boolean {
     return epoch === this.#goneEpoch && nowMs - this.#claimedMs >= CLAIM_GAP_MS;
   }
 
--- a/packages/runtime/src/internal/leadership.ts
+++ b/packages/runtime/src/internal/leadership.ts
@@ -4,7 +4,7 @@
 import type { NodeSettings } from '../node-settings.js';
 import type { PlatformPort } from '../platform-port.js';
 import { ClaimOrder } from './claim-order.js';
-import { ClaimPace, STORE_QUEUE_MS } from './claim-pace.js';
+import { ClaimBackoff, STORE_QUEUE_MS } from './claim-backoff.js';
 import type { ConfigWatch } from './config-watch.js';
 import { Pause, delay, steadyMs } from './delay.js';
 import { FaultLog } from './fault-log.js';
@@ -21,11 +21,11 @@
   CLAIM_SPREAD_MS,
   CONFIRMED_LEASE_MS,
   LEADER_SILENT_MS,
-  QUICK_STORE_MS,
+  FAST_READ_MS,
   SLOW_LEADER_SILENT_MS,
-  STANDBY_MS,
-  UNTOLD_LEASE_MS,
-  surelyOverMs,
+  STANDBY_PRIORITY_MS,
+  DEFAULT_LEASE_MS,
+  withClockDrift,
 } from './timing.js';
 import { Watchers } from './watchers.js';
 import type { LeaderRecord, OfferRecord } from './work-records.js';
@@ -115,7 +115,7 @@
   /** Claims that were sent, by their nonce: one without an answer may be stored seconds later. */
   readonly #claims = new Map<string, Claim>();
 
-  readonly #pace = new ClaimPace();
+  readonly #pace = new ClaimBackoff();
 
   #refused: RefusedClaim | undefined;
 
@@ -149,7 +149,7 @@
     this.#log = log;
     this.#table = table;
     this.#work = work;
-    this.#follower = work.roles;
+    this.#follower = work.workLog;
     this.#config = config;
     this.#faults = faults;
     this.#order = new ClaimOrder(settings.cores);
@@ -189,14 +189,15 @@
     const nowMs = steadyMs();
     if (nowMs < this.#nextClaimMs) return false;
     if (this.#isLeaderGone(nowMs)) return true;
-    const { freshMs, usualAgeMs } = this.#follower;
-    const ageMs = nowMs - freshMs;
-    if (ageMs > Math.max(MAX_VIEW_AGE_MS, Math.min(usualAgeMs, MAX_SLOW_VIEW_AGE_MS))) {
+    const { completeAsOfMs, expectedAgeMs } = this.#follower;
+    const ageMs = nowMs - completeAsOfMs;
+    if (ageMs > Math.max(MAX_VIEW_AGE_MS, Math.min(expectedAgeMs, MAX_SLOW_VIEW_AGE_MS))) {
       this.#blindMs = nowMs;
       return false;
     }
     const { leader, leaderSeenMs } = this.#table;
-    if (leader?.resigned) return nowMs >= this.#handOver.leftUntilMs(leader, leaderSeenMs);
+    if (leader?.resigned)
+      return nowMs >= this.#handOver.successorPriorityEndMs(leader, leaderSeenMs);
     if (!leader || this.#claimsAtOnce(leader)) return true;
     // After a silence of the store this node may read again before the leader can write again.
     // Counted from its last record it would be taken for dead just then, having lost nothing.
@@ -212,7 +213,7 @@
   #isLeaderGone(nowMs: number): boolean {
     const { leader } = this.#table;
     if (!leader || leader.resigned || this.#follower.isLost) return false;
-    return this.#watch?.isGone(leader, nowMs) ?? false;
+    return this.#watch?.hasProcessEnded(leader, nowMs) ?? false;
   }
 
   #silentLimitMs(): number {
@@ -232,16 +233,17 @@
   #claimsAtOnce(leader: LeaderRecord): boolean {
     if (this.#handOver.isSuccessor(leader)) return true;
     if (leader.standby === this.#settings.node && this.#isLeaderGone(steadyMs())) return true;
-    const isOwn = leader.node === this.#settings.node && !this.#handOver.hasGiven(leader);
-    return isOwn && !this.#order.isBehind;
+    const isOwn = leader.node === this.#settings.node && !this.#handOver.hasHandedOver(leader);
+    return isOwn && !this.#order.yieldsToLarger;
   }
 
   /** Offers to take the role of a smaller leader, where it is time and the store is quick. */
   #offerWhenDue(): void {
     const nowMs = steadyMs();
     const offer = this.#handOver.due(nowMs);
-    const { next, freshMs } = this.#follower;
-    if (!offer || next === undefined || nowMs - freshMs > MAX_VIEW_AGE_MS || this.#term) return;
+    const { next, completeAsOfMs } = this.#follower;
+    if (!offer || next === undefined || nowMs - completeAsOfMs > MAX_VIEW_AGE_MS || this.#term)
+      return;
     this.#handOver.offerSeen(offer, nowMs);
     this.#offer(offer, next).catch((err) => this.#log.emit('info', 'offer-put-off', reasonOf(err)));
   }
@@ -250,7 +252,7 @@
     const askedMs = steadyMs();
     await this.#port.workLog.read(next, 0);
     const tookMs = Math.round(steadyMs() - askedMs);
-    if (tookMs > QUICK_STORE_MS || this.#stopping.signal.aborted) {
+    if (tookMs > FAST_READ_MS || this.#stopping.signal.aborted) {
       this.#log.emit('info', 'offer-put-off', { reason: 'slow-store', tookMs });
       return;
     }
@@ -266,7 +268,7 @@
     if (!this.#term || !this.#handOver.isAccepted(offer, nowMs)) return;
     const { node, cores, epoch } = offer;
     this.#log.emit('info', 'hand-over', { epoch, successor: node, cores });
-    this.#handOver.given(epoch);
+    this.#handOver.handedOver(epoch);
     this.#term.resign(node);
   }
 
@@ -279,7 +281,7 @@
     const waitMs = isAtOnce ? 0 : standbyMs + this.#order.waitMs(free);
     // The last look at the store is a part of the wait: with a slow one both together take too long
     // for the leases that the successor has to renew. Small nodes look last, to see others' claims.
-    const lookMs = this.#order.isBehind ? 0 : this.#follower.usualReadMs;
+    const lookMs = this.#order.yieldsToLarger ? 0 : this.#follower.recentReadMs;
     await delay(Math.max(0, waitMs - lookMs), this.#stopping.signal);
     if (!this.#isRoleFree() || !(await this.#isSureOfSilence())) return;
     const before = this.#table.leader;
@@ -297,7 +299,7 @@
     const appending = this.#port.workLog.append([write], { stamp, isOnce: true });
     // A read that waits at the store sees the claim as it is stored; one after the answer comes later
     // by as long as a call takes.
-    this.#follower.hurry();
+    this.#follower.endPause();
     const { outcome, reason } = await appending;
     const { epoch } = record;
     this.#log.emit('info', 'claim', { epoch, before: before?.node, outcome, reason });
@@ -307,7 +309,7 @@
     this.#isUnanswered = outcome === 'unknown';
     this.#nextClaimMs = steadyMs() + this.#pace.pauseMs(outcome, sentMs);
     // What became of an unanswered claim shows in the log, as does that of every other.
-    this.#follower.hurry();
+    this.#follower.endPause();
   }
 
   #newRecord(before: LeaderRecord | undefined): LeaderRecord {
@@ -328,13 +330,15 @@
 
   /** How long other nodes leave the claim to the one that the leader has named for it. */
   #standbyMs(leader: LeaderRecord | undefined): number {
-    return leader?.standby === undefined ? 0 : STANDBY_MS + 2 * this.#follower.usualReadMs;
+    return leader?.standby === undefined
+      ? 0
+      : STANDBY_PRIORITY_MS + 2 * this.#follower.recentReadMs;
   }
 
   /** With a quick store the entries are not worth a call more for each claim that is refused. */
   #workerLog(): KeyedLog {
     const { workerLog } = this.#port;
-    return this.#follower.usualReadMs > QUICK_STORE_MS ? new PrefetchedLog(workerLog) : workerLog;
+    return this.#follower.recentReadMs > FAST_READ_MS ? new PrefetchedLog(workerLog) : workerLog;
   }
 
   #ownProcess(): Pick<LeaderRecord, 'process'> {
@@ -350,7 +354,8 @@
   #nextEpoch(leader: LeaderRecord | undefined): number {
     const next = (leader?.epoch ?? 0) + 1;
     const refused = this.#refused;
-    if (!refused || refused.epoch < next || this.#follower.freshMs < refused.atMs) return next;
+    if (!refused || refused.epoch < next || this.#follower.completeAsOfMs < refused.atMs)
+      return next;
     return refused.epoch * EPOCH_LEAP;
   }
 
@@ -364,7 +369,7 @@
     const { leader } = this.#table;
     const { next } = this.#follower;
     const isOver = leader && (leader.resigned || this.#claimsAtOnce(leader));
-    if ((isOver && !this.#order.isBehind) || next === undefined) return true;
+    if ((isOver && !this.#order.yieldsToLarger) || next === undefined) return true;
     try {
       const { records } = await this.#port.workLog.read(next, 0);
       return this.#isRoleFree() && !records.some(({ key }) => isLeaderKey(key));
@@ -380,9 +385,9 @@
    * have given the longest.
    */
   #formerMs(present: LeaderRecord | undefined): number {
-    const unreadMs = this.#refused ? UNTOLD_LEASE_MS : 0;
+    const unreadMs = this.#refused ? DEFAULT_LEASE_MS : 0;
     const leasesMs = present?.leasesMs ?? unreadMs;
-    const presentMs = surelyOverMs(Math.max(leasesMs, CONFIRMED_LEASE_MS));
+    const presentMs = withClockDrift(Math.max(leasesMs, CONFIRMED_LEASE_MS));
     return Math.max(presentMs, this.#table.formerLeases.allEndMs - steadyMs());
   }
 
@@ -415,8 +420,8 @@
 
   async #runTerm(term: LeaderTerm): Promise<void> {
     try {
-      await this.#work.whenRolesRead(this.#stopping.signal);
-      await term.run(this.#work.whenWhole(this.#stopping.signal));
+      await this.#work.whenWorkLogLoaded(this.#stopping.signal);
+      await term.run(this.#work.whenStartedJobsLoaded(this.#stopping.signal));
     } catch (err) {
       const reason = err instanceof Error ? (err.stack ?? err.message) : String(err);
       this.#log.emit('error', 'term-failed', { reason });
--- a/packages/runtime/src/internal/order-sender.ts
+++ b/packages/runtime/src/internal/order-sender.ts
@@ -1,6 +1,6 @@
 import type { Order } from '@redwingcrank/jobs';
 import { delay, steadyMs } from './delay.js';
-import { UNSENT_STARTS_MS } from './timing.js';
+import { MAX_UNSENT_STARTS_MS } from './timing.js';
 
 /** So many orders are sent at once, as many as links are begun. */
 const ORDERS_AT_ONCE = 16;
@@ -43,12 +43,12 @@
   }
 
   /** How many more orders can be taken on so that none waits for too long. */
-  get room(): number {
+  get capacity(): number {
     return Math.max(0, this.#most - this.#waiting.length);
   }
 
   get #most(): number {
-    return Math.max(ORDERS_AT_ONCE, Math.floor(UNSENT_STARTS_MS / this.#eachMs));
+    return Math.max(ORDERS_AT_ONCE, Math.floor(MAX_UNSENT_STARTS_MS / this.#eachMs));
   }
 
   send(orders: readonly Order[]): void {
@@ -60,8 +60,8 @@
    * Calls back when a round is worth its time again: at once where half the room is free, else when
    * no order waits any more.
    */
-  whenRoom(then: () => void): void {
-    if (this.room >= this.#most / 2) then();
+  whenCapacity(then: () => void): void {
+    if (this.capacity >= this.#most / 2) then();
     else this.#emptied = then;
   }
 
--- a/packages/runtime/src/internal/look-while.ts
+++ b/packages/runtime/src/internal/poll-until-settled.ts
@@ -1,7 +1,7 @@
 import { Pause } from './delay.js';
 
 /** Waits for what is under way, and meanwhile calls `look` again and again, so many ms apart. */
-export async function lookWhile<T>(
+export async function pollUntilSettled<T>(
   underWay: Promise<T>,
   everyMs: number,
   look: () => void,
--- a/packages/runtime/src/internal/round-pacing.ts
+++ b/packages/runtime/src/internal/round-pacing.ts
@@ -2,7 +2,7 @@
 import { taskName } from '@redwingcrank/jobs';
 import { Pause, delay, steadyMs } from './delay.js';
 import { OrderSender } from './order-sender.js';
-import { GATHER_MS, MAX_ROUND_REST_MS, PLACING_MS } from './timing.js';
+import { INPUT_BATCH_MS, MAX_ROUND_PAUSE_MS, PLACEMENT_BUDGET_MS } from './timing.js';
 
 /** After stops the node leaves as much time as they took: they are more urgent than starts. */
 const URGENT_REST = 1;
@@ -44,8 +44,8 @@
   /** Waits until the next round is asked for or due, and until it may begin. */
   async next(dueInMs: () => number): Promise<void> {
     if (!this.#isWoken) await this.#idle.wait(dueInMs());
-    const restMs = Math.min(this.#tookMs, MAX_ROUND_REST_MS) - (steadyMs() - this.#endedMs);
-    await delay(Math.max(GATHER_MS, restMs), this.#signal);
+    const restMs = Math.min(this.#tookMs, MAX_ROUND_PAUSE_MS) - (steadyMs() - this.#endedMs);
+    await delay(Math.max(INPUT_BATCH_MS, restMs), this.#signal);
     this.#isWoken = false;
   }
 
@@ -57,11 +57,11 @@
 
   /** What the next round may place. */
   get limits(): RoundLimits {
-    return { placingMs: PLACING_MS, starts: this.#starts.room, clockMs: steadyMs };
+    return { placingMs: PLACEMENT_BUDGET_MS, starts: this.#starts.capacity, clockMs: steadyMs };
   }
 
   /** A round has done its work; its append is under way. */
-  worked(beganMs: number): void {
+  roundDone(beganMs: number): void {
     this.#endedMs = steadyMs();
     this.#tookMs = this.#endedMs - beganMs;
   }
@@ -82,8 +82,8 @@
   }
 
   /** Asks for a round as soon as many more starts can be taken on. */
-  wakeWithRoom(): void {
-    this.#starts.whenRoom(() => this.wake());
+  wakeWhenCapacity(): void {
+    this.#starts.whenCapacity(() => this.wake());
   }
 }
 
--- a/packages/runtime/src/internal/start-views.ts
+++ b/packages/runtime/src/internal/start-views.ts
@@ -1,7 +1,12 @@
 import type { LogFields } from '../node-log.js';
 import type { NodeSettings } from '../node-settings.js';
 import { delay, steadyMs } from './delay.js';
-import { CLOCK_MARGIN_MS, CLOCK_SLACK, MIN_START_WINDOW_MS, START_WINDOW_MS } from './timing.js';
+import {
+  CLOCK_MARGIN_MS,
+  CLOCK_DRIFT_FACTOR,
+  MIN_START_WINDOW_MS,
+  START_WINDOW_MS,
+} from './timing.js';
 import type { WorkFollower } from './work-follower.js';
 import type { WorkerList } from './worker-list.js';
 
@@ -21,9 +26,9 @@
  * bound after that moment is enough, however long the start then waits or is under way.
  */
 export class StartViews {
-  readonly #workers: Pick<WorkerList, 'freshMs'>;
+  readonly #workers: Pick<WorkerList, 'completeAsOfMs'>;
 
-  readonly #work: Pick<WorkFollower, 'jobsFreshMs'>;
+  readonly #work: Pick<WorkFollower, 'jobsCompleteAsOfMs'>;
 
   readonly #bounds: StartBounds;
 
@@ -33,8 +38,8 @@
 
   /** `signal`: given when nobody starts anything any more. */
   constructor(
-    workers: Pick<WorkerList, 'freshMs'>,
-    work: Pick<WorkFollower, 'jobsFreshMs'>,
+    workers: Pick<WorkerList, 'completeAsOfMs'>,
+    work: Pick<WorkFollower, 'jobsCompleteAsOfMs'>,
     bounds: StartBounds,
     signal: AbortSignal,
   ) {
@@ -46,10 +51,10 @@
 
   /** How long a start that is sent now may take effect, in whole milliseconds; 0: send none. */
   windowMs(nowMs: number): number {
-    const workersEndMs = this.#workers.freshMs + this.#bounds.drainMs;
-    const jobsEndMs = this.#work.jobsFreshMs + this.#bounds.cancelMs;
+    const workersEndMs = this.#workers.completeAsOfMs + this.#bounds.drainMs;
+    const jobsEndMs = this.#work.jobsCompleteAsOfMs + this.#bounds.cancelMs;
     const leftMs = Math.min(workersEndMs, jobsEndMs) - nowMs - CLOCK_MARGIN_MS;
-    const windowMs = Math.floor(Math.min(START_WINDOW_MS, leftMs / CLOCK_SLACK));
+    const windowMs = Math.floor(Math.min(START_WINDOW_MS, leftMs / CLOCK_DRIFT_FACTOR));
     return windowMs < MIN_START_WINDOW_MS ? 0 : windowMs;
   }
 
@@ -67,8 +72,8 @@
   /** How old the views are, as lines of the log tell it. */
   ages(nowMs: number): LogFields {
     return {
-      workersAgeMs: Math.round(nowMs - this.#workers.freshMs),
-      jobsAgeMs: Math.round(nowMs - this.#work.jobsFreshMs),
+      workersAgeMs: Math.round(nowMs - this.#workers.completeAsOfMs),
+      jobsAgeMs: Math.round(nowMs - this.#work.jobsCompleteAsOfMs),
     };
   }
 }
--- a/packages/runtime/src/internal/term-parts.ts
+++ b/packages/runtime/src/internal/term-dependencies.ts
@@ -8,13 +8,13 @@
 import type { WorkTable } from './work-table.js';
 
 /** What a term works with: the node that it is of, and what that knows. */
-export interface TermParts {
+export interface TermDependencies {
   readonly port: PlatformPort;
   readonly settings: NodeSettings;
   readonly log: NodeLog;
   readonly table: WorkTable;
   /** What keeps the table up to date. */
-  readonly work: Pick<WorkFollower, 'jobsFreshMs'>;
+  readonly work: Pick<WorkFollower, 'jobsCompleteAsOfMs'>;
   readonly config: ConfigWatch;
   readonly faults?: FaultLog;
   /** Who watches this process. */
--- a/packages/runtime/src/internal/term-leases.ts
+++ b/packages/runtime/src/internal/term-leases.ts
@@ -1,7 +1,7 @@
 import type { WorkerEntry, WorkerState } from '@redwingcrank/jobs';
 import type { FormerLeases } from './former-leases.js';
 import type { LeaderWriter } from './leader-writer.js';
-import { CONFIRMED_LEASE_MS, LIGHT_SILENT, MAX_SILENT_NAMED } from './timing.js';
+import { CONFIRMED_LEASE_MS, COMPACT_RECORD_MAX_SILENT, MAX_SILENT_NAMED } from './timing.js';
 import type { LeaderRecord } from './work-records.js';
 
 /** A worker that does not answer, and when all leases there are over. */
@@ -56,8 +56,8 @@
   }
 
   /** Whether the record is small enough to go with each append. */
-  get isLight(): boolean {
-    return this.#silent.size <= LIGHT_SILENT;
+  get isCompact(): boolean {
+    return this.#silent.size <= COMPACT_RECORD_MAX_SILENT;
   }
 
   /** How long from now a lease on the worker may last, in milliseconds; 0 or less: none. */
@@ -71,7 +71,7 @@
    * nodes should be told: where other workers are silent than before, and for the first time when
    * each worker on which something runs has answered or is known to be silent.
    */
-  noteSilent(workers: Iterable<SilentWorker>, isComplete: boolean): boolean {
+  updateSilent(workers: Iterable<SilentWorker>, isComplete: boolean): boolean {
     if (!this.#isTelling && !isComplete) return false;
     const silent = new Map<string, number>();
     for (const { entry, leaseEndMs } of workers) {
--- a/packages/runtime/src/internal/term-load.ts
+++ b/packages/runtime/src/internal/term-load.ts
@@ -8,7 +8,7 @@
 const NONE_SENT = { workersAgeMs: 0, jobsAgeMs: 0, startWaitMs: 0 };
 
 /** How far the workers are reached on which something runs, or may. */
-export interface Reach {
+export interface Reachability {
   /** Workers on which something runs, or may, and that have not answered this node yet. */
   readonly unreached: number;
   /** The longest time for which any reached worker with runs has not answered, in milliseconds. */
@@ -16,7 +16,7 @@
 }
 
 /** What the term itself knows, read when its load is told. */
-export interface TermView extends Reach, Backlog {
+export interface TermView extends Reachability, Backlog {
   readonly jobs: number;
   /** For how long leases may be given from now, in milliseconds; 0 or less: none are. */
   readonly leaseLeftMs: number;
@@ -136,7 +136,7 @@
 }
 
 /** The workers that have not answered, and the quietest of those that have. */
-export function reachOf(workers: Iterable<WorkerState>, nowMs: number): Reach {
+export function reachabilityOf(workers: Iterable<WorkerState>, nowMs: number): Reachability {
   let unreached = 0;
   let quietMs = 0;
   for (const { runs, fenced, answeredMs } of workers) {
--- a/packages/runtime/src/internal/term-scheduler.ts
+++ b/packages/runtime/src/internal/term-scheduler.ts
@@ -2,7 +2,7 @@
 import type { LogFields, NodeLog } from '../node-log.js';
 import { steadyMs } from './delay.js';
 import type { FormerLeases } from './former-leases.js';
-import { STANDSTILL_MS, STOP_AGAIN_MS, surelyOverMs } from './timing.js';
+import { STALL_TIMEOUT_MS, STOP_RETRY_MS, withClockDrift } from './timing.js';
 import type { StoredJob } from './work-table.js';
 
 /** Decisions by the workers' entries: their lines tell how old the views were. */
@@ -16,10 +16,10 @@
   viewAges: () => LogFields,
 ): Scheduler {
   const timing = {
-    leaseMs: surelyOverMs(leaseMs),
+    leaseMs: withClockDrift(leaseMs),
     inheritedLeaseMs: Math.max(0, generalEndMs - steadyMs()),
-    standstillMs: STANDSTILL_MS,
-    stopAgainMs: STOP_AGAIN_MS,
+    standstillMs: STALL_TIMEOUT_MS,
+    stopAgainMs: STOP_RETRY_MS,
   };
   return new Scheduler(timing, steadyMs(), (event, fields) =>
     log.emit('info', event, BY_VIEWS.has(event) ? { ...fields, ...viewAges() } : fields),
@@ -27,7 +27,7 @@
 }
 
 /** Hands a stored job over, as far as it has come; one whose progress is not known is left alone. */
-export function takeOn(scheduler: Scheduler, job: StoredJob): void {
+export function loadJob(scheduler: Scheduler, job: StoredJob): void {
   const { spec, progress, changedMs, isUnsure, cancelled } = job;
   if (isUnsure) return;
   scheduler.addJob(
--- a/packages/runtime/src/internal/timing.ts
+++ b/packages/runtime/src/internal/timing.ts
@@ -3,7 +3,7 @@
  */
 
 /** A worker's clock runs this much slower than true time at most (the platform's figure: 2%). */
-export const CLOCK_SLACK = 1.021;
+export const CLOCK_DRIFT_FACTOR = 1.021;
 
 /** Between reading a clock and using the reading, generously. */
 export const CLOCK_MARGIN_MS = 100;
@@ -31,11 +31,11 @@
 export const CLAIM_LEASE_MS = 6_000;
 
 /** Nodes whose records do not say how long their leases last gave them for so long at most. */
-export const UNTOLD_LEASE_MS = 9_000;
+export const DEFAULT_LEASE_MS = 9_000;
 
 /** A lease of this length is over after so long, on the slowest clock of a worker too. */
-export function surelyOverMs(leaseMs: number): number {
-  return leaseMs * CLOCK_SLACK + CLOCK_MARGIN_MS;
+export function withClockDrift(leaseMs: number): number {
+  return leaseMs * CLOCK_DRIFT_FACTOR + CLOCK_MARGIN_MS;
 }
 
 /** A worker that lives has answered its first renewal by then, in milliseconds. */
@@ -62,10 +62,10 @@
  * a second only. Every node reads each append, some forty a second: with a hundred workers named that
  * is 0.1 MB a second, a tenth of what the smallest link carries.
  */
-export const LIGHT_SILENT = 100;
+export const COMPACT_RECORD_MAX_SILENT = 100;
 
 /** The scheduling node writes at least this often, so that the others see that it lives. */
-export const LEADER_WRITE_MS = 250;
+export const LEADER_WRITE_INTERVAL_MS = 250;
 
 /**
  * A leader that has written nothing for so long is replaced, where its writes were seen regularly
@@ -91,41 +91,41 @@
  * up to 260 ms after a small one, looks up to 100 ms later whether the role is free, and draws up to
  * 60 ms; 30 ms are left for its claim to be stored.
  */
-export const CLAIM_ORDER_MS = 450;
+export const SMALL_NODE_CLAIM_DELAY_MS = 450;
 
 /**
  * After the leader's process has ended the others leave the claim to the node that it has named, for
  * so long beyond two reads of the store: the first is its claim's, the second shows it.
  */
-export const STANDBY_MS = 100;
+export const STANDBY_PRIORITY_MS = 100;
 
 /**
  * A leader hands the role on, and is offered that, this long after its claim at the earliest: leases
  * of the term before are over or renewed by then, so no worker goes two changes without a renewal.
  */
-export const HAND_OVER_AFTER_MS = 8_000;
+export const HAND_OVER_MIN_TERM_MS = 8_000;
 
 /**
  * After a hand-over that its successor did not take up no offer is heeded for so long, and after each
  * further one for so much longer: such an offer may be anybody's record, and each costs the time of
  * a claim.
  */
-export const HAND_OVER_MISSED_MS = 60_000;
+export const HAND_OVER_BACKOFF_MS = 60_000;
 
 /** A larger node repeats its offer, or follows another's, no sooner than this. */
-export const OFFER_EVERY_MS = 5_000;
+export const OFFER_INTERVAL_MS = 5_000;
 
 /** Offers of several nodes are spread over this time, so that the first is seen by the rest. */
 export const OFFER_SPREAD_MS = 2_000;
 
 /** With a store that takes longer than this for a read no node offers to take the role. */
-export const QUICK_STORE_MS = 150;
+export const FAST_READ_MS = 150;
 
 /**
  * So long all others leave the claim to the successor that a leader has named. It reads that up to
  * 260 ms late, looks up to 100 ms later, and the others read its claim up to 260 ms after that.
  */
-export const SUCCESSOR_MS = 800;
+export const SUCCESSOR_PRIORITY_MS = 800;
 
 /**
  * A start that has not reached its worker within this time takes no effect there any more; sooner
@@ -156,39 +156,39 @@
 export const START_ATTEMPTS = 3;
 
 /** A run's progress may stand still for so long before it is taken to hang. */
-export const STANDSTILL_MS = 2_500;
+export const STALL_TIMEOUT_MS = 2_500;
 
 /** A stop whose run is still listed after so long is sent again. */
-export const STOP_AGAIN_MS = 1_200;
+export const STOP_RETRY_MS = 1_200;
 
 /**
  * While an append is under way, stops that fall due are looked for so often. An append usually takes
  * 10 ms, so this costs nothing but where its answer is late or lost.
  */
-export const STOP_LOOK_MS = 100;
+export const STOP_POLL_INTERVAL_MS = 100;
 
 /** The latest that the scheduling node looks at everything again without being told to. */
-export const ROUND_MS = 250;
+export const MAX_ROUND_INTERVAL_MS = 250;
 
 /** Inputs that arrive within this time are decided on together. */
-export const GATHER_MS = 3;
+export const INPUT_BATCH_MS = 3;
 
 /**
  * A round looks for places no longer than this. It is one piece of work: meanwhile no lease is
  * renewed and no stop is sent. On a node with a third of a core its other parts take up to three
  * times as long, and all together half of the time in which the node's own record is due.
  */
-export const PLACING_MS = 30;
+export const PLACEMENT_BUDGET_MS = 30;
 
 /**
  * After a round the node leaves as much time to its links and records as the round took, and this
  * at most: the next one writes the node's own record. With rounds that follow each other at once, a
  * node with a third of a core reached twenty workers of 440 a second, and the others' leases ended.
  */
-export const MAX_ROUND_REST_MS = 250;
+export const MAX_ROUND_PAUSE_MS = 250;
 
 /**
  * Starts that are ordered and not sent yet take no longer than this to send. What turns out to be
  * urgent stands behind them.
  */
-export const UNSENT_STARTS_MS = 1_000;
+export const MAX_UNSENT_STARTS_MS = 1_000;
--- a/packages/runtime/src/internal/work-follower.ts
+++ b/packages/runtime/src/internal/work-follower.ts
@@ -48,14 +48,14 @@
   #runJobs: () => void = () => {};
 
   /** Follows what the scheduling node writes. */
-  readonly roles: KeyedFollower;
+  readonly workLog: KeyedFollower;
 
   /** Tells when reads of one of the logs begin to fail. */
   readonly lost$: Observable<void>;
 
   constructor(port: Pick<PlatformPort, 'workLog' | 'jobLog'>, log: NodeLog, table: WorkTable) {
     this.#table = table;
-    this.roles = new KeyedFollower(port.workLog, log, {
+    this.workLog = new KeyedFollower(port.workLog, log, {
       name: 'work',
       waitMs: READ_WAIT_MS,
       gapMs: FOLLOW_GAP_MS,
@@ -65,8 +65,8 @@
       waitMs: JOBS_WAIT_MS,
       gapMs: JOBS_GAP_MS,
     });
-    this.lost$ = merge(this.roles.lost$, this.#jobs.lost$);
-    this.roles.messages$.subscribe((message) => {
+    this.lost$ = merge(this.workLog.lost$, this.#jobs.lost$);
+    this.workLog.messages$.subscribe((message) => {
       if (message.kind === 'record') table.apply(message.rec);
       else if (message.kind === 'reset') this.#rolesReset();
       else this.#rolesCaughtUp();
@@ -78,23 +78,23 @@
   }
 
   /** When the view of callers' jobs and cancels was last known to be complete, on the steady clock. */
-  get jobsFreshMs(): number {
-    return this.#jobs.freshMs;
+  get jobsCompleteAsOfMs(): number {
+    return this.#jobs.completeAsOfMs;
   }
 
   /** When the older of both views was last known to be complete, on the steady clock. */
-  get freshMs(): number {
-    return Math.min(this.roles.freshMs, this.#jobs.freshMs);
+  get completeAsOfMs(): number {
+    return Math.min(this.workLog.completeAsOfMs, this.#jobs.completeAsOfMs);
   }
 
   /** Whether both logs have been read to their ends. */
   get isLoaded(): boolean {
-    return this.roles.isLoaded && this.#jobs.isLoaded && !this.#isJobsLoadDue;
+    return this.workLog.isLoaded && this.#jobs.isLoaded && !this.#isJobsLoadDue;
   }
 
   /** Whether the newest read of one of the logs has failed. */
   get isLost(): boolean {
-    return this.roles.isLost || this.#jobs.isLost;
+    return this.workLog.isLost || this.#jobs.isLost;
   }
 
   /** Follows until stopped. */
@@ -102,11 +102,11 @@
     const rolesLoaded = new Promise<void>((resolve) => {
       this.#runJobs = resolve;
     });
-    await Promise.all([this.roles.run(), rolesLoaded.then(() => this.#jobs.run())]);
+    await Promise.all([this.workLog.run(), rolesLoaded.then(() => this.#jobs.run())]);
   }
 
   stop(): void {
-    this.roles.stop();
+    this.workLog.stop();
     this.#jobs.stop();
     this.#runJobs();
   }
@@ -120,8 +120,8 @@
    * Waits until what scheduling nodes wrote is read. While it is loaded anew a claim may be read
    * before the progress of jobs, and these, taken on with what was known before, would run twice.
    */
-  async whenRolesRead(signal: AbortSignal): Promise<void> {
-    const isRead = (): boolean => this.roles.isLoaded && !this.#isJobsLoadDue;
+  async whenWorkLogLoaded(signal: AbortSignal): Promise<void> {
+    const isRead = (): boolean => this.workLog.isLoaded && !this.#isJobsLoadDue;
     while (!signal.aborted && !isRead()) await delay(WHOLE_LOOK_MS, signal);
   }
 
@@ -130,7 +130,7 @@
    * until now. Workers list tasks of such jobs; a node that did not know the job yet would stop them.
    * False where the signal came first.
    */
-  async whenWhole(signal: AbortSignal): Promise<boolean> {
+  async whenStartedJobsLoaded(signal: AbortSignal): Promise<boolean> {
     const sinceMs = steadyMs();
     while (!signal.aborted && !this.#isWhole(sinceMs)) await delay(WHOLE_LOOK_MS, signal);
     return !signal.aborted;
@@ -139,7 +139,7 @@
   /** Progress without a job is of one that this node has not read, or of one that is deleted. */
   #isWhole(sinceMs: number): boolean {
     if (!this.isLoaded) return false;
-    return !this.#table.hasEarlyProgress || this.#jobs.freshMs >= sinceMs;
+    return !this.#table.hasEarlyProgress || this.#jobs.completeAsOfMs >= sinceMs;
   }
 
   #rolesReset(): void {
--- a/packages/runtime/src/internal/work-records.ts
+++ b/packages/runtime/src/internal/work-records.ts
@@ -1,7 +1,7 @@
 import type { InterferenceWeights, RetryAfter } from '@redwingcrank/jobs';
 import type { Decoded, RecordFault } from '../record-fault.js';
 import { parseObject } from './parse-object.js';
-import { UNTOLD_LEASE_MS, surelyOverMs } from './timing.js';
+import { DEFAULT_LEASE_MS, withClockDrift } from './timing.js';
 
 /** Which kinds of records the work log holds. Their keys are one letter, a slash and the job. */
 export type WorkRecordKind = 'job' | 'progress' | 'cancel' | 'leader' | 'learned' | 'offer';
@@ -74,8 +74,8 @@
 
 /** For records of nodes that do not tell of their leases yet. */
 const UNTOLD = {
-  leasesMs: UNTOLD_LEASE_MS,
-  formerMs: surelyOverMs(UNTOLD_LEASE_MS),
+  leasesMs: DEFAULT_LEASE_MS,
+  formerMs: withClockDrift(DEFAULT_LEASE_MS),
   silent: {},
   number: 0,
 } as const;
--- a/packages/runtime/src/internal/work-table.ts
+++ b/packages/runtime/src/internal/work-table.ts
@@ -110,7 +110,7 @@
   }
 
   /** Jobs that are deleted, and their progress is not. */
-  get outlived(): Iterable<string> {
+  get orphanedProgress(): Iterable<string> {
     return this.#outlived;
   }
 
@@ -119,7 +119,7 @@
    * are not read yet: without it they would seem to be new until the record of each is read.
    */
   reset(): void {
-    this.formerLeases.viewBroken();
+    this.formerLeases.viewReset();
   }
 
   /** What callers asked for is told anew; progress is not, and waits for its jobs. */
@@ -209,7 +209,7 @@
    */
   #missedLeader(): void {
     this.formerLeases.heartbeatRead(steadyMs());
-    this.formerLeases.viewBroken();
+    this.formerLeases.viewReset();
   }
 
   #applyLearned(rec: KeyedRecord): void {
--- a/packages/runtime/src/internal/worker-link.ts
+++ b/packages/runtime/src/internal/worker-link.ts
@@ -12,7 +12,7 @@
   SHORT_RENEW_WAIT_MS,
   START_ATTEMPTS,
   START_WINDOW_MS,
-  surelyOverMs,
+  withClockDrift,
 } from './timing.js';
 
 /** What a link tells the scheduling node. */
@@ -36,7 +36,7 @@
   isDue(order: Order): boolean;
   reported(worker: string, report: WorkerReport, askedMs: number): void;
   answered(order: Order, outcome: OrderOutcome, settledMs: number): void;
-  gone(worker: string, why: string): void;
+  workerEnded(worker: string, why: string): void;
   fenced(worker: string, reason: string): void;
 }
 
@@ -133,7 +133,7 @@
         break;
       }
       const deadlineMs = this.#workerTime(sentMs) + windowMs;
-      const overMs = sentMs + surelyOverMs(windowMs);
+      const overMs = sentMs + withClockDrift(windowMs);
       if (order.kind === 'start') this.#listener.startSent(order, overMs);
       const result = await this.#workers.order(
         this.address,
@@ -201,7 +201,7 @@
       ...(extend && { deadlineMs: this.#workerTime(askedMs) + leaseMs }),
     };
     if (extend) {
-      this.#listener.leaseSent(this.id, askedMs + surelyOverMs(leaseMs));
+      this.#listener.leaseSent(this.id, askedMs + withClockDrift(leaseMs));
     }
     const result = await this.#workers.renew(this.address, req);
     if (!this.#stopping.signal.aborted) await this.#renewed(result, askedMs);
@@ -226,7 +226,7 @@
       return;
     }
     if (result.outcome === 'other-life') {
-      this.#listener.gone(this.id, result.reason);
+      this.#listener.workerEnded(this.id, result.reason);
       return;
     }
     this.#missed(result.reason);
--- a/packages/runtime/src/internal/worker-links.ts
+++ b/packages/runtime/src/internal/worker-links.ts
@@ -51,7 +51,7 @@
     if (!link) return;
     link.stop();
     this.#links.delete(id);
-    this.#settings.workers.forget(link.address);
+    this.#settings.workers.disconnect(link.address);
   }
 
   /** Closes the links to all workers but these. */
--- a/packages/runtime/src/internal/worker-list.ts
+++ b/packages/runtime/src/internal/worker-list.ts
@@ -76,8 +76,8 @@
   }
 
   /** When the list was last known to be complete, on the steady clock. */
-  get freshMs(): number {
-    return this.#follower.freshMs;
+  get completeAsOfMs(): number {
+    return this.#follower.completeAsOfMs;
   }
 
   /** Whether the list has been read to its end at least once. */
@@ -140,7 +140,7 @@
    * says of a worker's remaining time counts from then.
    */
   get #writtenMs(): number {
-    return this.freshMs === -Infinity ? steadyMs() : this.freshMs;
+    return this.completeAsOfMs === -Infinity ? steadyMs() : this.completeAsOfMs;
   }
 
   #drop(id: string): void {
--- a/packages/runtime/src/job-service.ts
+++ b/packages/runtime/src/job-service.ts
@@ -70,7 +70,7 @@
 export interface WorkView {
   readonly table: WorkTable;
   /** When the view was last known to be complete, on the steady clock. */
-  readonly freshMs: number;
+  readonly completeAsOfMs: number;
   /** Whether the store cannot be read now. */
   readonly isLost: boolean;
   /** Tells when the store can no longer be read. */
@@ -116,7 +116,7 @@
       outcome,
       reason,
       sends,
-      viewAgeMs: Math.round(steadyMs() - this.#view.freshMs),
+      viewAgeMs: Math.round(steadyMs() - this.#view.completeAsOfMs),
       tookMs: Math.round(steadyMs() - arrivedMs),
       ...sizeOf(spec),
     });
@@ -188,7 +188,7 @@
   }
 
   #isFresh(): boolean {
-    return steadyMs() - this.#view.freshMs < MAX_VIEW_AGE_MS;
+    return steadyMs() - this.#view.completeAsOfMs < MAX_VIEW_AGE_MS;
   }
 
   #repeated(spec: JobSpec, known: JobSpec): SubmitOutcome {
--- a/packages/runtime/src/node.ts
+++ b/packages/runtime/src/node.ts
@@ -58,8 +58,8 @@
     const { table, work } = { table: this.#table, work: this.#work };
     const view = {
       table,
-      get freshMs() {
-        return work.freshMs;
+      get completeAsOfMs() {
+        return work.completeAsOfMs;
       },
       get isLost() {
         return work.isLost;
@@ -80,7 +80,7 @@
     if (this.#isStopping || this.#config.current === undefined) return false;
     // It takes no job until a read succeeds again, so new callers had better go elsewhere.
     if (this.#work.isLost) return false;
-    return steadyMs() - this.#work.freshMs < READY_VIEW_AGE_MS;
+    return steadyMs() - this.#work.completeAsOfMs < READY_VIEW_AGE_MS;
   }
 
   /**
@@ -90,7 +90,7 @@
   async whenLoaded(): Promise<void> {
     const { follower } = this.#config;
     const endMs = steadyMs() + LOAD_WAIT_MS;
-    const isComplete = (): boolean => this.#work.freshMs > -Infinity && follower.isLoaded;
+    const isComplete = (): boolean => this.#work.completeAsOfMs > -Infinity && follower.isLoaded;
     while (steadyMs() < endMs && !isComplete()) {
       await delay(LOAD_LOOK_MS, new AbortController().signal);
     }
@@ -111,7 +111,7 @@
 
   /** How long ago the configuration was known to be the newest, in milliseconds. */
   get configAgeMs(): number {
-    return steadyMs() - this.#config.follower.freshMs;
+    return steadyMs() - this.#config.follower.completeAsOfMs;
   }
 
   /** The queue of this name, as the operators have configured it; undefined where they have not. */
@@ -126,7 +126,7 @@
       const state = shownState(job);
       jobs.set(state, (jobs.get(state) ?? 0) + 1);
     }
-    const viewAgeMs = steadyMs() - this.#work.freshMs;
+    const viewAgeMs = steadyMs() - this.#work.completeAsOfMs;
     return {
       isLeading: this.#leadership.isLeading,
       viewAgeMs,
--- a/packages/runtime/src/task-workers.ts
+++ b/packages/runtime/src/task-workers.ts
@@ -43,5 +43,5 @@
   ): Promise<OrderResult>;
 
   /** Drops connections to a worker that is gone. */
-  abstract forget(worker: WorkerAddress): void;
+  abstract disconnect(worker: WorkerAddress): void;
 }
--- a/packages/runtime/src/test/fixtures.ts
+++ b/packages/runtime/src/test/fixtures.ts
@@ -16,7 +16,7 @@
 
 /** A view of callers' jobs to which nothing is ever added. */
 export const FRESH_JOBS = {
-  get jobsFreshMs(): number {
+  get jobsCompleteAsOfMs(): number {
     return steadyMs();
   },
 };
--- a/packages/runtime/src/test/idle-worker_test.ts
+++ b/packages/runtime/src/test/idle-worker_test.ts
@@ -39,7 +39,7 @@
     leaseSent: () => {},
     reported: () => {},
     answered: () => {},
-    gone: () => {},
+    workerEnded: () => {},
     fenced: () => {},
   };
   const log = new NodeLog('n1', 'silent');
--- a/packages/runtime/src/test/job-service_test.ts
+++ b/packages/runtime/src/test/job-service_test.ts
@@ -47,7 +47,7 @@
 
   isLost = false;
 
-  get freshMs(): number {
+  get completeAsOfMs(): number {
     return steadyMs();
   }
 
--- a/packages/runtime/src/test/keyed-follower_test.ts
+++ b/packages/runtime/src/test/keyed-follower_test.ts
@@ -118,10 +118,10 @@
   Object.assign(source, { end: 5, first: 5 });
   const forgotMs = steadyMs();
   await pause(250);
-  assert.ok(follower.freshMs < forgotMs + 20, 'an old page passes for fresh');
+  assert.ok(follower.completeAsOfMs < forgotMs + 20, 'an old page passes for fresh');
   await pause(500);
   assert.deepEqual(told, ['ready', 'leaves']);
-  assert.ok(follower.freshMs > forgotMs);
+  assert.ok(follower.completeAsOfMs > forgotMs);
 });
 
 test('a page counts as complete only once the log was read from its end', async (t) => {
@@ -133,7 +133,7 @@
   const { follower, told } = followForgetful(source, t);
   let freshAfter: string[] | undefined;
   const looking = setInterval(() => {
-    if (follower.freshMs > -Infinity) freshAfter ??= [...told];
+    if (follower.completeAsOfMs > -Infinity) freshAfter ??= [...told];
   }, 1);
   await pause(500);
   clearInterval(looking);
@@ -148,9 +148,9 @@
   source.end = 1;
   const behindMs = steadyMs();
   await pause(300);
-  const { freshMs, isLost } = follower;
+  const { completeAsOfMs, isLost } = follower;
   source.end = 2;
   await pause(300);
-  assert.ok(freshMs < behindMs + 20 && isLost, `${freshMs - behindMs} ms`);
-  assert.ok(follower.freshMs > behindMs + 300);
+  assert.ok(completeAsOfMs < behindMs + 20 && isLost, `${completeAsOfMs - behindMs} ms`);
+  assert.ok(follower.completeAsOfMs > behindMs + 300);
 });
--- a/packages/runtime/src/test/leader-term_test.ts
+++ b/packages/runtime/src/test/leader-term_test.ts
@@ -25,7 +25,7 @@
     return { outcome: 'unknown', reason: 'no workers here' };
   }
 
-  override forget(): void {}
+  override disconnect(): void {}
 }
 
 const SETTINGS = nodeSettings('n1');
--- a/packages/runtime/src/test/lease-bounds_test.ts
+++ b/packages/runtime/src/test/lease-bounds_test.ts
@@ -3,8 +3,13 @@
 import fc from 'fast-check';
 import { FormerLeases } from '../internal/former-leases.js';
 import { TermLeases } from '../internal/term-leases.js';
-import { CLAIM_LEASE_MS, CLOCK_SLACK, CONFIRMED_LEASE_MS, LEASE_MS } from '../internal/timing.js';
-import { surelyOverMs } from '../internal/timing.js';
+import {
+  CLAIM_LEASE_MS,
+  CLOCK_DRIFT_FACTOR,
+  CONFIRMED_LEASE_MS,
+  LEASE_MS,
+} from '../internal/timing.js';
+import { withClockDrift } from '../internal/timing.js';
 import type { LeaderRecord } from '../internal/work-records.js';
 import { leaderRecord } from './leader-record.js';
 
@@ -123,7 +128,7 @@
   #reload(index: number): void {
     const reader = this.#readers[index]!;
     const newest = this.#log.findLast((rec) => rec !== undefined);
-    reader.former.viewBroken();
+    reader.former.viewReset();
     if (newest) reader.former.recordRead(newest, this.#nowMs);
     reader.next = this.#log.length;
   }
@@ -140,7 +145,7 @@
       nonce: `${this.#log.length}`,
       resigned: false,
       leasesMs: CLAIM_LEASE_MS,
-      formerMs: Math.max(surelyOverMs(CONFIRMED_LEASE_MS), former.allEndMs - sentMs),
+      formerMs: Math.max(withClockDrift(CONFIRMED_LEASE_MS), former.allEndMs - sentMs),
       silent: {},
       number: 0,
     };
@@ -159,7 +164,7 @@
       return;
     }
     if (!term.pending) {
-      const isNews = term.leases.noteSilent(term.silentWorkers(), b !== 1);
+      const isNews = term.leases.updateSilent(term.silentWorkers(), b !== 1);
       const resigns = b > 7;
       const isRecord = isNews || resigns || b === 0;
       const rec = isRecord ? term.leases.record(resigns, this.#nowMs) : undefined;
@@ -184,14 +189,14 @@
       return;
     }
     worker.token = term.epoch;
-    if (!term.reached.has(id)) term.endsMs.set(id, this.#nowMs + surelyOverMs(LEASE_MS));
+    if (!term.reached.has(id)) term.endsMs.set(id, this.#nowMs + withClockDrift(LEASE_MS));
     term.reached.add(id);
     term.silent.delete(id);
     const leaseMs = Math.min(LEASE_MS, term.leases.limitMs(id, this.#nowMs));
     if (leaseMs <= 0) return;
-    const boundMs = this.#nowMs + surelyOverMs(leaseMs);
+    const boundMs = this.#nowMs + withClockDrift(leaseMs);
     term.endsMs.set(id, Math.max(term.endsMs.get(id)!, boundMs));
-    worker.leaseEndMs = Math.max(worker.leaseEndMs, this.#nowMs + leaseMs * CLOCK_SLACK);
+    worker.leaseEndMs = Math.max(worker.leaseEndMs, this.#nowMs + leaseMs * CLOCK_DRIFT_FACTOR);
     this.#check(id, worker);
   }
 
@@ -242,5 +247,5 @@
   former.recordRead(record(2, CONFIRMED_LEASE_MS, { w1: 2_500 }), 3_500);
   former.recordRead(record(3, CLAIM_LEASE_MS, {}), 4_000);
   assert.equal(former.namedEndMs.get('w1'), 6_000);
-  assert.equal(former.generalEndMs, 3_500 + surelyOverMs(CONFIRMED_LEASE_MS));
+  assert.equal(former.generalEndMs, 3_500 + withClockDrift(CONFIRMED_LEASE_MS));
 });
--- a/packages/runtime/src/test/order-sender_test.ts
+++ b/packages/runtime/src/test/order-sender_test.ts
@@ -3,7 +3,7 @@
 import type { Order } from '@redwingcrank/jobs';
 import { delay } from '../internal/delay.js';
 import { OrderSender } from '../internal/order-sender.js';
-import { UNSENT_STARTS_MS } from '../internal/timing.js';
+import { MAX_UNSENT_STARTS_MS } from '../internal/timing.js';
 
 const STARTS = 200;
 
@@ -51,7 +51,7 @@
     orders(STARTS).map(({ task }) => task.index),
   );
   // By now it knows how slow it is: what is urgent must not stand behind more than a second.
-  assert.ok(sender.room * TURN_MS < 1.5 * UNSENT_STARTS_MS, `room for ${sender.room}`);
+  assert.ok(sender.capacity * TURN_MS < 1.5 * MAX_UNSENT_STARTS_MS, `room for ${sender.capacity}`);
 });
 
 test('starts are not sent any more once the term is over', async () => {
--- a/packages/runtime/src/test/round-pacing_test.ts
+++ b/packages/runtime/src/test/round-pacing_test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { RoundPacing } from '../internal/round-pacing.js';
 import { steadyMs } from '../internal/delay.js';
-import { MAX_ROUND_REST_MS } from '../internal/timing.js';
+import { MAX_ROUND_PAUSE_MS } from '../internal/timing.js';
 
 /** Timers may be a little early against the steady clock, in milliseconds. */
 const TIMER_MS = 2;
@@ -13,7 +13,7 @@
 /** A round of so many milliseconds; returns how long after it the next one may begin. */
 async function restAfter(roundMs: number): Promise<number> {
   const pacing = new RoundPacing(new AbortController().signal, () => {});
-  pacing.worked(steadyMs() - roundMs);
+  pacing.roundDone(steadyMs() - roundMs);
   const endedMs = steadyMs();
   pacing.wake();
   await pacing.next(() => 0);
@@ -30,5 +30,5 @@
 test('a very long round does not hold up the next one for as long', async () => {
   // A node that stood still for seconds in its round has to write its own record at once.
   const restMs = await restAfter(5_000);
-  assert.ok(restMs < MAX_ROUND_REST_MS + SLACK_MS, `${restMs} ms`);
+  assert.ok(restMs < MAX_ROUND_PAUSE_MS + SLACK_MS, `${restMs} ms`);
 });
--- a/packages/runtime/src/test/sound-workers.ts
+++ b/packages/runtime/src/test/sound-workers.ts
@@ -19,5 +19,5 @@
     return { outcome: 'done', reason: '' };
   }
 
-  override forget(): void {}
+  override disconnect(): void {}
 }
--- a/packages/runtime/src/test/stale-views_test.ts
+++ b/packages/runtime/src/test/stale-views_test.ts
@@ -49,7 +49,7 @@
 class JobsView {
   #heldMs: number | undefined;
 
-  get jobsFreshMs(): number {
+  get jobsCompleteAsOfMs(): number {
     return this.#heldMs ?? steadyMs();
   }
 
--- a/packages/runtime/src/test/start-views_test.ts
+++ b/packages/runtime/src/test/start-views_test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { MIN_START_WINDOW_MS, START_WINDOW_MS, surelyOverMs } from '../internal/timing.js';
+import { MIN_START_WINDOW_MS, START_WINDOW_MS, withClockDrift } from '../internal/timing.js';
 import { StartViews } from '../internal/start-views.js';
 
 const ms = (max: number): fc.Arbitrary<number> => fc.double({ min: 0, max, noNaN: true });
@@ -17,12 +17,17 @@
         const sentMs = 10_000;
         const { signal } = new AbortController();
         const bounds = { drainMs: drain, cancelMs: cancel };
-        const views = new StartViews({ freshMs: workers }, { jobsFreshMs: jobs }, bounds, signal);
+        const views = new StartViews(
+          { completeAsOfMs: workers },
+          { jobsCompleteAsOfMs: jobs },
+          bounds,
+          signal,
+        );
         const windowMs = views.windowMs(sentMs);
         assert.ok(Number.isInteger(windowMs) && windowMs <= START_WINDOW_MS);
         if (windowMs === 0) return;
         assert.ok(windowMs >= MIN_START_WINDOW_MS);
-        const overMs = sentMs + surelyOverMs(windowMs);
+        const overMs = sentMs + withClockDrift(windowMs);
         assert.ok(overMs <= workers + drain && overMs <= jobs + cancel);
       },
     ),
@@ -32,6 +37,11 @@
 test('by a list that was never read to its end nothing starts', () => {
   const { signal } = new AbortController();
   const bounds = { drainMs: 2_000, cancelMs: 3_000 };
-  const views = new StartViews({ freshMs: -Infinity }, { jobsFreshMs: 0 }, bounds, signal);
+  const views = new StartViews(
+    { completeAsOfMs: -Infinity },
+    { jobsCompleteAsOfMs: 0 },
+    bounds,
+    signal,
+  );
   assert.equal(views.windowMs(0), 0);
 });
--- a/packages/runtime/src/test/work-follower_test.ts
+++ b/packages/runtime/src/test/work-follower_test.ts
@@ -112,7 +112,7 @@
   await logs.workLog.append([progressRecord()]);
   await until(() => table.hasEarlyProgress);
   let isWhole = false;
-  const whole = follower.whenWhole(new AbortController().signal).then(() => {
+  const whole = follower.whenStartedJobsLoaded(new AbortController().signal).then(() => {
     isWhole = true;
   });
   await pause(200);
@@ -131,7 +131,7 @@
   await until(() => follower.isLoaded);
   follower.setLeading(true);
   const sinceMs = steadyMs();
-  await follower.whenWhole(new AbortController().signal);
+  await follower.whenStartedJobsLoaded(new AbortController().signal);
   assert.ok(steadyMs() - sinceMs < 1_000);
 });
 
@@ -152,7 +152,7 @@
   let loadCount = 0;
   logs.jobLog.newest = async (): Promise<NewestPage> => {
     await pause(50);
-    if (!table.jobs.has(ID)) missingMs.push(follower.freshMs);
+    if (!table.jobs.has(ID)) missingMs.push(follower.completeAsOfMs);
     loadCount += 1;
     return MemoryLog.prototype.newest.call(logs.jobLog);
   };
@@ -187,7 +187,7 @@
   }));
   const housekeeping = new Housekeeping(table, logs.jobLog, 0);
   const forget = async (): Promise<readonly KeyedWrite[]> => {
-    const writes = housekeeping.forgotten();
+    const writes = housekeeping.progressDeletions();
     await logs.workLog.append(writes);
     return writes;
   };
@@ -200,6 +200,6 @@
   await until(() => !table.jobs.has(ID));
   await pause(FORGET_MS);
   assert.deepEqual(await forget(), [PROGRESS_DELETED]);
-  await until(() => [...table.outlived].length === 0);
+  await until(() => [...table.orphanedProgress].length === 0);
   assert.deepEqual(logs.jobLog.keys(), [JOB_RECORD.key, `-c/${ID}`, `-${JOB_RECORD.key}`]);
 });
--- a/packages/runtime/src/test/work-table_test.ts
+++ b/packages/runtime/src/test/work-table_test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { steadyMs } from '../internal/delay.js';
-import { surelyOverMs } from '../internal/timing.js';
+import { withClockDrift } from '../internal/timing.js';
 import type { LeaderRecord } from '../internal/work-records.js';
 import { encodeLeader, leaderKey } from '../internal/work-records.js';
 import { WorkTable } from '../internal/work-table.js';
@@ -35,7 +35,7 @@
   reader.read(1, { silent: { w1: 500 } });
   reader.loadAnew();
   reader.read(1, { silent: { w1: 6_000 } });
-  reader.read(2, { leasesMs: 4_000, formerMs: surelyOverMs(7_600) });
+  reader.read(2, { leasesMs: 4_000, formerMs: withClockDrift(7_600) });
   const leftMs = reader.table.formerLeases.namedEndMs.get('w1')! - steadyMs();
   assert.ok(leftMs > 6_000 - SLACK_MS, `${leftMs} ms left`);
 });
@@ -47,7 +47,7 @@
   const reader = new Reader();
   reader.read(1, { leasesMs: 1_000 });
   reader.loadAnew();
-  reader.read(2, { leasesMs: 4_000, formerMs: surelyOverMs(7_600) });
+  reader.read(2, { leasesMs: 4_000, formerMs: withClockDrift(7_600) });
   const leftMs = reader.table.formerLeases.generalEndMs - steadyMs();
-  assert.ok(leftMs > surelyOverMs(7_600) - SLACK_MS, `${leftMs} ms left`);
+  assert.ok(leftMs > withClockDrift(7_600) - SLACK_MS, `${leftMs} ms left`);
 });
--- a/packages/runtime/src/test/worker-link_test.ts
+++ b/packages/runtime/src/test/worker-link_test.ts
@@ -27,7 +27,7 @@
     return { outcome: 'unknown', reason: '' };
   }
 
-  override forget(): void {}
+  override disconnect(): void {}
 }
 
 function listener(leases: number[]): LinkListener {
@@ -42,7 +42,7 @@
     leaseSent: (_worker, leaseEndMs) => leases.push(leaseEndMs),
     reported: () => {},
     answered: () => {},
-    gone: () => {},
+    workerEnded: () => {},
     fenced: () => {},
   };
 }
