--- a/packages/runtime/src/test/idle-worker_test.ts
+++ b/packages/runtime/src/test/idle-worker_test.ts
@@ -44,7 +44,7 @@
     leaseSent: () => {},
     reported: () => {},
     answered: () => {},
-    gone: () => {},
+    workerEnded: () => {},
     fenced: () => {},
   };
   const log = new NodeLog('n1', 'silent');
