--- a/packages/runtime/src/test/job-fixtures.ts
+++ b/packages/runtime/src/test/job-fixtures.ts
@@ -14,6 +14,6 @@
 export function begunProgress(): JobProgress {
   const progress = new JobProgress(LASTING_JOB);
   progress.openDue(Date.now());
-  progress.begin();
+  progress.markRunning();
   return progress;
 }
