--- a/packages/runtime/src/internal/claim-backoff.ts
+++ b/packages/runtime/src/internal/claim-backoff.ts
@@ -3,11 +3,12 @@
 import { steadyMs } from './delay.js';
 
 /**
- * How long a node waits after a claim before it sends another, by what the store said, in
- * milliseconds; a leader's record that is read ends the wait. A claim that is stored, or stands
- * behind another's of its epoch, is read within the two seconds that a store lets appends wait; one
- * without an answer may be stored yet. Sent again at once, the claims of all nodes stand before the
- * first records of the new leader, and it is taken for dead.
+ * How long a node waits after a claim before it sends another one, by the outcome of the append, in
+ * milliseconds; reading a leader's record ends the wait. A claim that was stored, or that was
+ * preceded by another claim of its epoch, is read within the two seconds that a store lets appends
+ * wait. A claim without an answer may still be stored. If claims were repeated immediately, those
+ * of all nodes would precede the first records of the new leader, which would then be considered
+ * dead.
  */
 const PAUSE_MS: Readonly<Record<AppendOutcome, number>> = {
   appended: 2_000,
@@ -18,39 +19,46 @@
   refused: 500,
 };
 
-/** Refusals in a row after which the pause grows no more: the store may be back at any time. */
-const MAX_GROWTH = 2;
+/**
+ * Maximum number of doublings of the pause after consecutive refusals, as the store may recover at
+ * any time.
+ */
+const MAX_DOUBLINGS = 2;
 
-/** A claim that took longer waited behind others, in milliseconds. */
+/** A claim that took longer than this was queued behind others, in milliseconds. */
 const SLOW_CLAIM_MS = 200;
 
-/** For how long a slow claim says something about the store, in milliseconds. */
+/** How long a slow claim is taken as a sign of a slow store, in milliseconds. */
 const MEMORY_MS = 5_000;
 
-/** Appends wait no longer at a store before it refuses more of them, in milliseconds. */
+/**
+ * Longest time that an append waits at the store before the store refuses further appends, in
+ * milliseconds.
+ */
 export const STORE_QUEUE_MS = 2_000;
 
-/** Keeps the claims of a node few while the store is slow. */
+/** Limits the rate of claims of a node while the store is slow. */
 export class ClaimBackoff {
   #refusals = 0;
 
-  #slowMs = -Infinity;
+  #lastSlowMs = -Infinity;
 
-  /** Whether claims wait in a queue at the store, by what came of this node's own. */
+  /** Whether claims are queued at the store, judging by this node's own claims. */
   get isQueueing(): boolean {
-    return steadyMs() - this.#slowMs < MEMORY_MS;
+    return steadyMs() - this.#lastSlowMs < MEMORY_MS;
   }
 
-  /** How long to wait after a claim that was sent then, in milliseconds. */
+  /** Returns how long to wait after a claim that was sent at `sentMs`, in milliseconds. */
   pauseMs(outcome: AppendOutcome, sentMs: number): number {
     const nowMs = steadyMs();
-    if (outcome === 'refused' || nowMs - sentMs > SLOW_CLAIM_MS) this.#slowMs = nowMs;
+    if (outcome === 'refused' || nowMs - sentMs > SLOW_CLAIM_MS) this.#lastSlowMs = nowMs;
     if (outcome !== 'refused') {
       this.#refusals = 0;
       return PAUSE_MS[outcome];
     }
-    // All nodes were refused together. After the same pause they would fill the queue together again.
-    const pauseMs = PAUSE_MS.refused * 2 ** Math.min(this.#refusals, MAX_GROWTH);
+    // All nodes were refused at the same time. With equal pauses they would fill the queue at the
+    // same time again.
+    const pauseMs = PAUSE_MS.refused * 2 ** Math.min(this.#refusals, MAX_DOUBLINGS);
     this.#refusals += 1;
     return pauseMs + randomInt(pauseMs);
   }
--- a/packages/runtime/src/internal/claim-order.ts
+++ b/packages/runtime/src/internal/claim-order.ts
@@ -7,90 +7,99 @@
 } from './timing.js';
 import type { LeaderRecord } from './work-records.js';
 
-/** A node that is not told its processor time counts as this small, in cores. */
-const UNTOLD_CORES = 0.25;
+/** Assumed processor time of a node whose platform does not report it, in cores. */
+const DEFAULT_CORES = 0.25;
 
-/** Until a record tells of sizes the largest node is taken to have so many cores. */
-const USUAL_CORES = 1;
+/** Assumed processor time of the largest node until a record reports sizes, in cores. */
+const ASSUMED_LARGEST_CORES = 1;
 
-/** A node is much smaller than one that has more than so many times its processor time. */
-const MUCH = 2;
+/**
+ * A node is much larger than another one if it has more than this many times its processor time.
+ */
+const MUCH_LARGER_FACTOR = 2;
 
-/** A leader's records come no further apart than this with a quick store, in milliseconds. */
-const USUAL_GAP_MS = LEADER_WRITE_INTERVAL_MS + 50;
+/** Longest gap between the records of a leader when the store is fast, in milliseconds. */
+const EXPECTED_GAP_MS = LEADER_WRITE_INTERVAL_MS + 50;
 
-/** What a node sees of the role when it is free. */
+/** What a node knows about vacant leadership. */
 export interface LeadershipVacancy {
   readonly leader: LeaderRecord | undefined;
-  /** How far apart the leader's records came lately, in milliseconds. */
+  /** The recent time between records of the leader, in milliseconds. */
   readonly leaderGapMs: number;
-  /** Whether a claim of this node was left without an answer, and may be stored yet. */
+  /** Whether a claim of this node got no answer and may still be stored. */
   readonly hasClaimed: boolean;
 }
 
 /**
- * How long a node waits with its claim when the scheduling role is free: much smaller nodes than the
- * largest that is known leave it to that one's kind, and claim only when none of them has.
+ * Determines how long a node waits before it claims vacant leadership. Nodes that are much smaller
+ * than the largest known node let the larger nodes claim first.
  *
- * A small node takes many seconds to reach hundreds of workers and to decide for all jobs. It is
- * taken for dead meanwhile, and as most nodes are small, the first claim is most often another small
- * one's: leases end before any of them has renewed them. Where no larger node has ever been seen
- * nobody waits. What is known of the largest goes from one leader's record to the next, so a node
- * that has just started knows it too.
+ * A small node takes many seconds to contact hundreds of workers and to decide for all jobs.
+ * Meanwhile it is considered dead, and as most nodes are small, the next claim is usually from
+ * another small node, so that leases expire before any of them has renewed them. No node waits
+ * where a larger one has never been seen. Each leader's record passes on the size of the largest
+ * known node, so a node that has just started knows it too.
  */
 export class ClaimOrder {
   readonly cores: number;
 
   #largestCores: number;
 
-  /** Whether the present leader's record tells sizes. */
-  #isTold = false;
+  /** Whether the current leader's record reports sizes. */
+  #hasReportedSizes = false;
 
-  /** Of a node with this processor time, in cores, if the platform tells it. */
+  /**
+   * Creates the order for a node with this processor time, in cores; undefined if the platform does
+   * not report it.
+   */
   constructor(cores: number | undefined) {
-    this.cores = cores ?? UNTOLD_CORES;
+    this.cores = cores ?? DEFAULT_CORES;
     this.#largestCores = this.cores;
   }
 
-  /** The largest node of which any record told, or this one, in cores. */
+  /** The size of the largest node that any record has reported, or of this node, in cores. */
   get largestCores(): number {
     return this.#largestCores;
   }
 
-  /** Whether much larger nodes are to claim before this one. */
+  /** Whether much larger nodes should claim before this one. */
   get yieldsToLarger(): boolean {
-    const largest = this.#isTold ? this.#largestCores : Math.max(this.#largestCores, USUAL_CORES);
+    const largest = this.#hasReportedSizes
+      ? this.#largestCores
+      : Math.max(this.#largestCores, ASSUMED_LARGEST_CORES);
     return this.isMuchSmaller(largest);
   }
 
-  /** Whether a node of so many cores should rather schedule than this one. */
+  /** Whether a node with this many cores is preferred as leader over this one. */
   isMuchSmaller(cores: number): boolean {
-    return this.cores * MUCH < cores;
+    return this.cores * MUCH_LARGER_FACTOR < cores;
   }
 
-  /** Whether this node should rather schedule than one of so many cores. */
+  /** Whether this node is preferred as leader over one with this many cores. */
   isMuchLarger(cores: number): boolean {
-    return cores * MUCH < this.cores;
+    return cores * MUCH_LARGER_FACTOR < this.cores;
   }
 
   leaderSeen({ cores = 0, largestCores = 0 }: LeaderRecord): void {
-    this.#isTold = cores > 0;
+    this.#hasReportedSizes = cores > 0;
     this.#largestCores = Math.max(this.#largestCores, cores, largestCores);
   }
 
-  /** How long to wait before a claim, in milliseconds; drawn anew each time. */
+  /** Returns how long to wait before a claim, in milliseconds; randomized on each call. */
   waitMs({ leader, leaderGapMs, hasClaimed }: LeadershipVacancy): number {
     if (!this.yieldsToLarger || hasClaimed) {
-      // Large nodes are few, and each draw beyond theirs would hold up the small ones.
-      const isLarge = this.cores * MUCH >= USUAL_CORES;
+      // Large nodes are few. A longer spread for them would delay the small nodes.
+      const isLarge = this.cores * MUCH_LARGER_FACTOR >= ASSUMED_LARGEST_CORES;
       return randomInt(isLarge ? LARGE_CLAIM_SPREAD_MS : CLAIM_SPREAD_MS);
     }
-    // At the first start the larger ones may start a little later. A store that was slower with the
-    // leader's records by some time is so with reading the last one and with storing a claim.
-    const slowMs = leader ? 2 * Math.max(0, leaderGapMs - USUAL_GAP_MS) : SMALL_NODE_CLAIM_DELAY_MS;
+    // When the nodes start for the first time, larger nodes may start a little later. If the store
+    // delays the leader's records, it delays reading the last record and storing a claim as well.
+    const storeDelayMs = leader
+      ? 2 * Math.max(0, leaderGapMs - EXPECTED_GAP_MS)
+      : SMALL_NODE_CLAIM_DELAY_MS;
     return (
       SMALL_NODE_CLAIM_DELAY_MS +
-      Math.min(slowMs, SMALL_NODE_CLAIM_DELAY_MS) +
+      Math.min(storeDelayMs, SMALL_NODE_CLAIM_DELAY_MS) +
       randomInt(CLAIM_SPREAD_MS)
     );
   }
--- a/packages/runtime/src/internal/config-watch.ts
+++ b/packages/runtime/src/internal/config-watch.ts
@@ -6,10 +6,13 @@
 import { FaultLog } from './fault-log.js';
 import { KeyedFollower } from './keyed-follower.js';
 
-/** How often the operators' records are read, in milliseconds: well under the time they have. */
-const GAP_MS = 200;
+/**
+ * The pause between reads of the operator log, in milliseconds: well below the time within which a
+ * change must be applied.
+ */
+const POLL_GAP_MS = 200;
 
-/** Holds the newest configuration that this node has seen; it never goes back to an older one. */
+/** Holds the newest configuration that this node has seen; it never returns to an older one. */
 export class ConfigWatch {
   readonly #port: PlatformPort;
 
@@ -30,7 +33,7 @@
     this.follower = new KeyedFollower(port.operatorLog, log, {
       name: 'operator',
       waitMs: 1_000,
-      gapMs: GAP_MS,
+      gapMs: POLL_GAP_MS,
     });
     this.follower.messages$.subscribe((message) => {
       if (message.kind !== 'record') return;
@@ -43,7 +46,9 @@
     return this.#current;
   }
 
-  /** The queue that a request is for: the longest prefix of its path under its host. */
+  /**
+   * Returns the queue for a request: the one with the longest matching path prefix for the host.
+   */
   route(host: string, path: string): QueueRoute | undefined {
     let best: QueueRoute | undefined;
     for (const queue of this.#current?.queues ?? []) {
@@ -64,10 +69,10 @@
       return;
     }
     this.#faults.usable('operator', rec.key);
-    this.#take(decoded.value);
+    this.#apply(decoded.value);
   }
 
-  #take(config: ClusterConfig): void {
+  #apply(config: ClusterConfig): void {
     if (config.version <= (this.#current?.version ?? -Infinity)) return;
     const from = this.#current?.version;
     this.#current = config;
--- a/packages/runtime/src/internal/delay.ts
+++ b/packages/runtime/src/internal/delay.ts
@@ -1,14 +1,14 @@
 /**
- * One wait after another, each of which may be ended early. For waits that usually are: ended by an
- * `AbortSignal`, each makes a signal and two exceptions with their stacks, and the node that
- * schedules ends hundreds a second. It took a tenth of that node's processor time.
+ * A timer for consecutive waits, each of which can be ended early. Use it for waits that usually
+ * are: a wait that an `AbortSignal` ends creates a signal and two exceptions with stack traces, and
+ * the leader ends hundreds of waits per second, which took a tenth of its processor time.
  */
 export class Pause {
   #timer: NodeJS.Timeout | undefined;
 
   #resolve: (() => void) | undefined;
 
-  /** Waits so long, or until `end` is called. One wait at a time. */
+  /** Waits for the given time or until `end` is called. Only one wait may be pending at a time. */
   wait(ms: number): Promise<void> {
     return new Promise((resolve) => {
       this.#resolve = resolve;
@@ -16,14 +16,14 @@
     });
   }
 
-  /** Ends the wait that is under way; a later one is not touched. */
+  /** Ends the pending wait; later waits are not affected. */
   end(): void {
     clearTimeout(this.#timer);
     this.#resolve?.();
   }
 }
 
-/** Waits, or returns early when the signal is given; never throws. */
+/** Waits for the given time or until the signal is aborted; never throws. */
 export async function delay(ms: number, signal: AbortSignal): Promise<void> {
   if (signal.aborted) return;
   const pause = new Pause();
@@ -33,7 +33,7 @@
   signal.removeEventListener('abort', end);
 }
 
-/** The steady clock, in milliseconds. */
+/** Returns the time of the steady (monotonic) clock, in milliseconds. */
 export function steadyMs(): number {
   return performance.now();
 }
--- a/packages/runtime/src/internal/fault-log.ts
+++ b/packages/runtime/src/internal/fault-log.ts
@@ -2,21 +2,21 @@
 import type { FaultReason, RecordFault } from '../record-fault.js';
 import { steadyMs } from './delay.js';
 
-/** The logs of the store whose records a node reads. */
+/** The logs of the store that nodes read records from. */
 export type RecordSource = 'work' | 'workers' | 'operator';
 
 /**
- * Keys that are remembered as unusable: some hundred kilobytes at most. Beyond it the oldest is
- * forgotten, and gets one more line with its next record.
+ * Maximum number of keys remembered as unusable, some hundred kilobytes. Beyond it the oldest key
+ * is dropped, and its next unusable record is logged again.
  */
 const MAX_KEYS = 1_000;
 
-/** Lines written in one second at most, so that a writer of broken records cannot fill the log. */
-const MAX_LINES = 20;
+/** Maximum number of lines per second, so that a writer of broken records cannot flood the log. */
+const MAX_LINES_PER_PERIOD = 20;
 
-const LINES_PERIOD_MS = 1_000;
+const RATE_PERIOD_MS = 1_000;
 
-/** How many records of a log could not be used for one reason. */
+/** The number of unusable records of a log for one reason. */
 export interface FaultCount {
   readonly source: RecordSource;
   readonly reason: FaultReason;
@@ -24,14 +24,16 @@
 }
 
 /**
- * Tells which records cannot be used: one line when a key turns unusable, or is so for another
- * reason, and one when it is sound again. Every unusable record is counted, whether it gets a line
- * or not.
+ * Logs which records cannot be used: one line when a key becomes unusable or the reason changes,
+ * and one line when it becomes valid again. Counts every unusable record, logged or not.
  */
 export class FaultLog {
   readonly #log: NodeLog;
 
-  /** What is wrong with the newest record of a key, the key that was told longest ago first. */
+  /**
+   * The fault of the newest record of each unusable key, ordered by when it was logged, oldest
+   * first.
+   */
   readonly #faults = new Map<string, string>();
 
   readonly #counts = new Map<string, FaultCount>();
@@ -44,28 +46,28 @@
     this.#log = log;
   }
 
-  /** How many records could not be used since the start. */
+  /** The number of unusable records since the start, by log and reason. */
   get counts(): Iterable<FaultCount> {
     return this.#counts.values();
   }
 
-  /** A record of the key cannot be used. */
+  /** Counts an unusable record of the key, and logs it if its fault is new. */
   unusable(source: RecordSource, key: string, { reason, field }: RecordFault): void {
     this.#count(source, reason);
     const id = `${source} ${key}`;
     const fault = `${reason} ${field}`;
     if (this.#faults.get(id) === fault) return;
     this.#remember(id, fault);
-    this.#tell('warn', 'record-unusable', { log: source, key, reason, field });
+    this.#logEvent('warn', 'record-unusable', { log: source, key, reason, field });
   }
 
-  /** A record of the key can be used. */
+  /** Clears the fault of the key, whose newest record can be used. */
   usable(source: RecordSource, key: string): void {
     if (!this.#faults.delete(`${source} ${key}`)) return;
-    this.#tell('info', 'record-usable', { log: source, key });
+    this.#logEvent('info', 'record-usable', { log: source, key });
   }
 
-  /** The key was deleted. */
+  /** Clears the fault of a deleted key without a log line. */
   forget(source: RecordSource, key: string): void {
     this.#faults.delete(`${source} ${key}`);
   }
@@ -84,17 +86,17 @@
     else this.#counts.set(id, { source, reason, count: 1 });
   }
 
-  #tell(level: LogLevel, event: string, fields: LogFields): void {
-    if (this.#mayWrite()) this.#log.emit(level, event, fields);
+  #logEvent(level: LogLevel, event: string, fields: LogFields): void {
+    if (this.#isWithinRateLimit()) this.#log.emit(level, event, fields);
   }
 
-  #mayWrite(): boolean {
+  #isWithinRateLimit(): boolean {
     const nowMs = steadyMs();
-    if (nowMs - this.#periodMs >= LINES_PERIOD_MS) {
+    if (nowMs - this.#periodMs >= RATE_PERIOD_MS) {
       this.#periodMs = nowMs;
       this.#lines = 0;
     }
     this.#lines += 1;
-    return this.#lines <= MAX_LINES;
+    return this.#lines <= MAX_LINES_PER_PERIOD;
   }
 }
--- a/packages/runtime/src/internal/former-leases.ts
+++ b/packages/runtime/src/internal/former-leases.ts
@@ -2,87 +2,99 @@
 import type { LeaderRecord } from './work-records.js';
 
 /**
- * Until when workers may hold leases that scheduling nodes before the present one have given, from
- * what their records say. A node that takes the role over waits so long before it starts elsewhere
- * what may still run on a worker that it cannot ask.
+ * Tracks until when workers may hold leases from leaders before the current one, as stated in the
+ * records of those leaders. A node that takes over leadership waits this long before it restarts
+ * tasks that may still run on a worker that it cannot contact.
  *
- * Without these records each change of the scheduling node would begin the wait anew, also for
- * a worker that was lost long before: its tasks would be away for as long as the role passes on.
- * All times are on this node's steady clock. A record is read later than it was sent, so every
- * bound errs to the late side.
+ * Without these records the wait would start over at each change of leader, even for a worker that
+ * was lost long before, and its tasks would stay down while leadership keeps changing. All times
+ * are on this node's steady clock. A record is read later than it was sent, so all bounds err on
+ * the late side.
  */
 export class FormerLeases {
   readonly #node: string;
 
   readonly #startedMs: number;
 
-  /** The nonces of the claims that this life of the node has sent. */
+  /** The nonces of the claims that this incarnation of the node has sent. */
   readonly #claims = new Set<string>();
 
-  #present: LeaderRecord | undefined;
+  #current: LeaderRecord | undefined;
 
-  #isBroken = false;
+  #isViewReset = false;
 
-  /** When any record of the present term was last read. */
-  #heardMs = -Infinity;
+  /** When any record of the current term was last read. */
+  #lastReadMs = -Infinity;
 
-  /** Of the present term: when the leases of the workers that it names as silent are over. */
+  /** For the current term: when leases expire on the workers that it lists as silent. */
   #silent: ReadonlyMap<string, number> = new Map();
 
-  /** When those of former terms are over on workers that no term has named. */
+  /** When leases of former terms expire on workers that no term has listed as silent. */
   #generalEndMs = -Infinity;
 
-  /** The same for workers that were named, and have got no lease since. */
+  /**
+   * When leases of former terms expire on workers that were listed as silent and have got no lease
+   * since.
+   */
   #namedEndMs: ReadonlyMap<string, number> = new Map();
 
-  /** Of the node that keeps this, its name and when it started. */
+  /** Creates the tracker for the node with this name, which started at `startedMs`. */
   constructor(node: string, startedMs: number) {
     this.#node = node;
     this.#startedMs = startedMs;
   }
 
-  /** Workers for which something else holds than for all others. */
+  /**
+   * When leases of former terms expire on workers that differ from the general bound, by worker.
+   */
   get namedEndMs(): ReadonlyMap<string, number> {
     return this.#namedEndMs;
   }
 
-  /** When all leases of former terms are over, but for those of named workers. */
+  /** When leases of former terms expire on all workers that are not in `namedEndMs`. */
   get generalEndMs(): number {
     return this.#generalEndMs;
   }
 
-  /** When all of them are over on all workers. */
+  /** When leases of former terms expire on all workers. */
   get allEndMs(): number {
     return Math.max(this.#generalEndMs, ...this.#namedEndMs.values());
   }
 
-  /** This life of the node is about to claim the role. */
+  /** Called before this incarnation of the node claims leadership with this nonce. */
   claiming(nonce: string): void {
     this.#claims.add(nonce);
   }
 
-  /** The log is read anew from its newest records: some between may never be read. */
+  /**
+   * Called when the log is read again from its newest records: records in between may never be
+   * read.
+   */
   viewReset(): void {
-    this.#isBroken = true;
+    this.#isViewReset = true;
   }
 
-  /** Any record of the present scheduling node was read: it may have renewed leases since. */
+  /** Called when any record of the current leader was read: it may have renewed leases since. */
   heartbeatRead(nowMs: number): void {
-    this.#heardMs = nowMs;
+    this.#lastReadMs = nowMs;
   }
 
-  /** The scheduling node's record of itself was read: the same node's as before, or the next one's. */
+  /** Called when a leader record was read, of the same term as before or of a later one. */
   recordRead(rec: LeaderRecord, nowMs: number): void {
-    const isSameTerm = this.#present?.epoch === rec.epoch;
-    if (this.#isBroken || !this.#isNext(rec)) this.#begin(rec, nowMs);
-    else if (!isSameTerm) this.#replaced(this.#present!);
-    this.#silent = isSameTerm && !this.#isBroken ? this.#earliest(rec, nowMs) : endsOf(rec, nowMs);
-    this.#isBroken = false;
-    this.#present = rec;
-    this.#heardMs = nowMs;
+    const isSameTerm = this.#current?.epoch === rec.epoch;
+    if (this.#isViewReset || !this.#isSameOrNextTerm(rec)) this.#startOver(rec, nowMs);
+    else if (!isSameTerm) this.#termEnded(this.#current!);
+    this.#silent =
+      isSameTerm && !this.#isViewReset ? this.#earliest(rec, nowMs) : endsOf(rec, nowMs);
+    this.#isViewReset = false;
+    this.#current = rec;
+    this.#lastReadMs = nowMs;
   }
 
-  /** Of two records that name a worker without a break, the earlier bound holds. */
+  /**
+   * Returns when leases expire on the workers that the record lists as silent. For workers that the
+   * previous record listed as well, the earlier bound applies.
+   */
   #earliest(rec: LeaderRecord, nowMs: number): ReadonlyMap<string, number> {
     const ends = endsOf(rec, nowMs);
     for (const [worker, endMs] of ends) {
@@ -92,32 +104,35 @@
     return ends;
   }
 
-  #isNext({ epoch }: LeaderRecord): boolean {
-    const present = this.#present?.epoch;
-    return present !== undefined && (epoch === present || epoch === present + 1);
+  #isSameOrNextTerm({ epoch }: LeaderRecord): boolean {
+    const known = this.#current?.epoch;
+    return known !== undefined && (epoch === known || epoch === known + 1);
   }
 
-  /** Of terms and records that were never read only this record can tell. */
-  #begin(rec: LeaderRecord, nowMs: number): void {
+  /**
+   * Starts over from this record, as it is the only information about terms and records that were
+   * never read.
+   */
+  #startOver(rec: LeaderRecord, nowMs: number): void {
     this.#generalEndMs = Math.max(this.allEndMs, nowMs + rec.formerMs);
     this.#namedEndMs = new Map();
   }
 
-  #replaced(before: LeaderRecord): void {
-    const endMs = this.#presentEndMs(before);
+  #termEnded(before: LeaderRecord): void {
+    const endMs = this.#currentEndMs(before);
     this.#generalEndMs = Math.max(this.#generalEndMs, endMs);
     const named = new Map(this.#silent);
     for (const [worker, namedEndMs] of this.#namedEndMs) {
-      // Named by an earlier term and not by this one, which may have reached it.
+      // Listed by an earlier term but not by this one, which may have contacted the worker.
       if (!named.has(worker)) named.set(worker, Math.max(namedEndMs, endMs));
     }
     this.#namedEndMs = named;
   }
 
-  #presentEndMs({ node, nonce, leasesMs }: LeaderRecord): number {
-    const endMs = this.#heardMs + withClockDrift(leasesMs);
+  #currentEndMs({ node, nonce, leasesMs }: LeaderRecord): number {
+    const endMs = this.#lastReadMs + withClockDrift(leasesMs);
     if (node !== this.#node || this.#claims.has(nonce)) return endMs;
-    // An earlier life of this node has renewed nothing since this one began.
+    // An earlier incarnation of this node has renewed nothing since this one started.
     return Math.min(endMs, this.#startedMs + withClockDrift(LEASE_MS));
   }
 }
--- a/packages/runtime/src/internal/hand-over.ts
+++ b/packages/runtime/src/internal/hand-over.ts
@@ -10,14 +10,14 @@
 import type { LeaderRecord, OfferRecord } from './work-records.js';
 
 /**
- * Decides when the scheduling role passes from a small leader to a much larger node that lives: the
- * larger one offers to take it, and the leader resigns in its favour.
+ * Decides when leadership passes from a small leader to a much larger live node: the larger node
+ * offers to take over, and the leader resigns in its favour.
  *
- * A small leader with hundreds of workers and thousands of jobs is deaf for seconds, and leases end
- * that it should have renewed. Only the larger node knows that it lives and reads the store, so it
- * is the one to speak. Sizes at least double with each hand-over, so the role never goes back and
- * forth, and a leader that has not yet reached all workers keeps it: after two changes in a row
- * leases would end before anybody renews them.
+ * A small leader with hundreds of workers and thousands of jobs is unresponsive for seconds, and
+ * leases expire that it should have renewed. Only the larger node knows that it is alive and can
+ * read the store, so it makes the offer. The size at least doubles with each hand-over, so
+ * leadership never goes back and forth. A leader that has not yet contacted all workers keeps its
+ * leadership: after two changes in a row, leases would expire before any leader renews them.
  */
 export class HandOver {
   readonly #node: string;
@@ -26,84 +26,94 @@
 
   #leader: LeaderRecord | undefined;
 
-  /** When this node first saw the present leader, on the steady clock. */
-  #sinceMs = -Infinity;
+  /** When this node first saw the current leader, on the steady clock. */
+  #leaderSinceMs = -Infinity;
 
-  /** No offer of this node before this time. */
-  #offerMs = Infinity;
+  /** The earliest time of the next offer of this node. */
+  #nextOfferMs = Infinity;
 
-  /** No offer is heeded before this time. */
-  #heedMs = -Infinity;
+  /** No offer is accepted before this time. */
+  #acceptFromMs = -Infinity;
 
-  /** How often the role was given to a node that did not take it. */
-  #misses = 0;
+  /** How many times the named successor did not take over. */
+  #missedCount = 0;
 
-  /** The epoch in which this node has given the role to another one. */
-  #givenEpoch: number | undefined;
+  /** The epoch in which this node has handed over leadership. */
+  #handedOverEpoch: number | undefined;
 
   constructor(node: string, order: ClaimOrder) {
     this.#node = node;
     this.#order = order;
   }
 
-  /** True if the leader before had named a successor and this is another node. */
+  /**
+   * Processes a leader record. Returns true if the previous leader had named a successor and
+   * another node became leader.
+   */
   leaderSeen(leader: LeaderRecord, nowMs: number): boolean {
     const before = this.#leader;
     this.#leader = leader;
     if (before?.epoch === leader.epoch) return false;
-    this.#sinceMs = nowMs;
-    this.#offerMs = nowMs + HAND_OVER_MIN_TERM_MS + randomInt(OFFER_SPREAD_MS);
+    this.#leaderSinceMs = nowMs;
+    this.#nextOfferMs = nowMs + HAND_OVER_MIN_TERM_MS + randomInt(OFFER_SPREAD_MS);
     const isMissed = before?.successor !== undefined && before.successor !== leader.node;
     if (isMissed) {
-      this.#misses += 1;
-      this.#heedMs = nowMs + this.#misses * HAND_OVER_BACKOFF_MS;
+      this.#missedCount += 1;
+      this.#acceptFromMs = nowMs + this.#missedCount * HAND_OVER_BACKOFF_MS;
     }
     return isMissed;
   }
 
-  /** Any node offers to take the present leader's role: one offer at a time is enough. */
+  /**
+   * Called when any node offers to take over from the current leader: one offer at a time is
+   * enough.
+   */
   offerSeen({ epoch }: OfferRecord, nowMs: number): void {
     if (epoch !== this.#leader?.epoch) return;
-    this.#offerMs = Math.max(this.#offerMs, nowMs + OFFER_INTERVAL_MS + randomInt(OFFER_SPREAD_MS));
+    this.#nextOfferMs = Math.max(
+      this.#nextOfferMs,
+      nowMs + OFFER_INTERVAL_MS + randomInt(OFFER_SPREAD_MS),
+    );
   }
 
-  /** The offer that this node should make now. */
+  /** Returns the offer that this node should make now, if any. */
   due(nowMs: number): OfferRecord | undefined {
-    if (!this.#leader || this.#leader.resigned || nowMs < this.#offerMs) return undefined;
+    if (!this.#leader || this.#leader.resigned || nowMs < this.#nextOfferMs) return undefined;
     const { node, epoch, cores } = this.#leader;
     if (node === this.#node || !cores || !this.#order.isMuchLarger(cores)) return undefined;
     return { node: this.#node, epoch, cores: this.#order.cores };
   }
 
   /**
-   * Whether this node, which leads, resigns in favour of the one that offers. An offer can be
-   * anybody's record. One of a node that does not exist leaves the role free for a moment, so after
-   * one that came to nothing none is heeded for a while.
+   * Whether this node, as leader, resigns in favour of the node that makes the offer. Any client
+   * may have written the offer. An offer of a node that does not exist leaves leadership vacant for
+   * a moment, so no offer is accepted for a while after a hand-over that failed.
    */
   isAccepted({ node, epoch, cores }: OfferRecord, nowMs: number): boolean {
-    const isFit = node !== this.#node && this.#order.isMuchSmaller(cores);
-    if (!isFit || epoch !== this.#leader?.epoch || epoch === this.#givenEpoch) return false;
-    return nowMs - this.#sinceMs >= HAND_OVER_MIN_TERM_MS && nowMs >= this.#heedMs;
+    const isLargerNode = node !== this.#node && this.#order.isMuchSmaller(cores);
+    if (!isLargerNode || epoch !== this.#leader?.epoch || epoch === this.#handedOverEpoch)
+      return false;
+    return nowMs - this.#leaderSinceMs >= HAND_OVER_MIN_TERM_MS && nowMs >= this.#acceptFromMs;
   }
 
-  /** This node, which leads, gives the role to another one. */
+  /** Called when this node, as leader, hands over leadership. */
   handedOver(epoch: number): void {
-    this.#givenEpoch = epoch;
+    this.#handedOverEpoch = epoch;
   }
 
   /**
-   * Whether this life of the node has given the role up that the record still shows as its own: its
-   * last record is stored, and not yet read.
+   * Whether this incarnation of the node has resigned although the record still shows it as leader:
+   * its last record is stored but not yet read.
    */
   hasHandedOver({ epoch }: LeaderRecord): boolean {
-    return epoch === this.#givenEpoch;
+    return epoch === this.#handedOverEpoch;
   }
 
   isSuccessor({ resigned, successor }: LeaderRecord): boolean {
     return resigned && successor === this.#node;
   }
 
-  /** Until when others leave the claim to the successor that the leader has named. */
+  /** Returns until when other nodes leave the claim to the successor that the leader has named. */
   successorPriorityEndMs({ successor }: LeaderRecord, seenMs: number): number {
     const isOther = successor !== undefined && successor !== this.#node;
     return isOther ? seenMs + SUCCESSOR_PRIORITY_MS : -Infinity;
--- a/packages/runtime/src/internal/housekeeping.ts
+++ b/packages/runtime/src/internal/housekeeping.ts
@@ -5,19 +5,24 @@
 import { cancelKey, encodeLearned, jobKey, learnedKey, progressKey } from './work-records.js';
 import type { WorkTable } from './work-table.js';
 
-/** A job's records are deleted this long after its state may be forgotten, in milliseconds. */
-const FORGET_SLACK_MS = 30_000;
+/**
+ * The records of a job are deleted this long after its final state need no longer be kept, in
+ * milliseconds.
+ */
+const DELETE_DELAY_MS = 30_000;
 
-/** How often jobs to forget are looked for, in milliseconds. */
-const FORGET_EVERY_MS = 5_000;
+/** Interval of scans for jobs to delete, in milliseconds. */
+const DELETE_INTERVAL_MS = 5_000;
 
-/** Jobs that are deleted in one append at most: some tens of kilobytes. */
+/** Maximum number of jobs deleted in one append, some tens of kilobytes. */
 const MAX_DELETED = 500;
 
-/** How often what was learned of images is stored, in milliseconds: it changes over many seconds. */
-const LEARNED_EVERY_MS = 3_000;
+/**
+ * Interval of storing what was learned about images, in milliseconds; it changes over many seconds.
+ */
+const LEARNED_INTERVAL_MS = 3_000;
 
-/** What a scheduling node writes now and then beside its decisions. */
+/** Produces the periodic writes of the leader apart from its decisions. */
 export class Housekeeping {
   readonly #table: WorkTable;
 
@@ -27,32 +32,32 @@
 
   #isDeletingJobs = false;
 
-  #learnedMs = steadyMs() + LEARNED_EVERY_MS;
+  #nextLearnedMs = steadyMs() + LEARNED_INTERVAL_MS;
 
-  #forgetMs = steadyMs() + FORGET_EVERY_MS;
+  #nextDeletionMs = steadyMs() + DELETE_INTERVAL_MS;
 
-  /** `keepStateMs`: for how long the final state of a job must be known. */
+  /** `keepStateMs`: how long the final state of a job must be kept. */
   constructor(table: WorkTable, jobLog: KeyedLog, keepStateMs: number) {
     this.#table = table;
     this.#jobLog = jobLog;
     this.#keepStateMs = keepStateMs;
   }
 
-  /** The record of what was learned of images, where it is due. */
+  /** Returns the record of what was learned about images when it is due. */
   learnedWrites(weights: InterferenceWeights): KeyedWrite[] {
-    if (steadyMs() < this.#learnedMs) return [];
-    this.#learnedMs = steadyMs() + LEARNED_EVERY_MS;
+    if (steadyMs() < this.#nextLearnedMs) return [];
+    this.#nextLearnedMs = steadyMs() + LEARNED_INTERVAL_MS;
     return [{ key: learnedKey(), value: encodeLearned(weights) }];
   }
 
   /**
-   * Deletions of the progress of jobs that are deleted. Those of jobs whose state may be forgotten
-   * begin with it, in the callers' log: progress that went before its job would leave that as a new
-   * one, and it would run again.
+   * Returns deletions of the progress of deleted jobs, and starts to delete jobs whose state need
+   * no longer be kept. The job itself, in the callers' log, is deleted first: if its progress were
+   * deleted before it, the job would look new and would run again.
    */
   progressDeletions(): KeyedWrite[] {
-    if (steadyMs() < this.#forgetMs) return [];
-    this.#forgetMs = steadyMs() + FORGET_EVERY_MS;
+    if (steadyMs() < this.#nextDeletionMs) return [];
+    this.#nextDeletionMs = steadyMs() + DELETE_INTERVAL_MS;
     this.#deleteJobs();
     return [...this.#table.orphanedProgress].map((id) => ({
       key: progressKey(id),
@@ -60,9 +65,12 @@
     }));
   }
 
-  /** Rounds do not wait for it. What the store does not take is deleted another time. */
+  /**
+   * Rounds do not wait for this append. Jobs that the store does not delete now are deleted in a
+   * later scan.
+   */
   async #deleteJobs(): Promise<void> {
-    const writes = [...this.#forgettable()].slice(0, MAX_DELETED).flatMap((id) => [
+    const writes = [...this.#expiredJobs()].slice(0, MAX_DELETED).flatMap((id) => [
       { key: cancelKey(id), value: undefined },
       { key: jobKey(id), value: undefined },
     ]);
@@ -72,8 +80,8 @@
     this.#isDeletingJobs = false;
   }
 
-  *#forgettable(): Generator<string> {
-    const beforeMs = Date.now() - this.#keepStateMs - FORGET_SLACK_MS;
+  *#expiredJobs(): Generator<string> {
+    const beforeMs = Date.now() - this.#keepStateMs - DELETE_DELAY_MS;
     for (const { spec, state, endedMs } of this.#table.jobs.values()) {
       if (isFinal(state) && endedMs < beforeMs) yield spec.id;
     }
--- a/packages/runtime/src/internal/job-schema.ts
+++ b/packages/runtime/src/internal/job-schema.ts
@@ -1,7 +1,10 @@
 import { z } from 'zod';
 import type { JobSpec } from '@redwingcrank/jobs';
 
-/** Tasks in one step at most: one record of a job holds the progress of them all. */
+/**
+ * Maximum number of tasks in one step: the progress of all of them is stored in one record of the
+ * job.
+ */
 const MAX_TASKS = 1_000;
 
 const MAX_STEPS = 64;
@@ -35,7 +38,7 @@
   intervalMs: z.number().positive(),
 });
 
-/** A job as it is submitted over the project's own interface. */
+/** A job as submitted over the project's own API. */
 export const jobSchema = z
   .strictObject({
     payload: z.string().max(MAX_PAYLOAD_BYTES).default(''),
@@ -54,7 +57,7 @@
     }
   });
 
-/** What is wrong with a submitted job, a line for each fault. */
+/** The faults of a submitted job, one line each. */
 export class JobFaultsError extends Error {
   override readonly name = 'JobFaultsError';
 
@@ -66,7 +69,7 @@
   }
 }
 
-/** Reads a submitted job. @throws JobFaultsError with every fault at once */
+/** Parses a submitted job. @throws JobFaultsError listing all faults */
 export function readJob(id: string, queue: string, text: string, acceptedMs: number): JobSpec {
   const reading = jobSchema.safeParse(parseText(text));
   if (!reading.success) {
--- a/packages/runtime/src/internal/keyed-follower.ts
+++ b/packages/runtime/src/internal/keyed-follower.ts
@@ -4,7 +4,7 @@
 import type { NodeLog } from '../node-log.js';
 import { Pause, steadyMs } from './delay.js';
 
-/** A follower's message: its view starts anew, one record of it, or it has caught up. */
+/** A message of a follower: its view is reset, a record was read, or the view has caught up. */
 export type FollowerMessage =
   | { readonly kind: 'reset' }
   | { readonly kind: 'record'; readonly rec: KeyedRecord }
@@ -12,27 +12,28 @@
 
 export interface FollowerSettings {
   readonly name: string;
-  /** How long a read may wait at the store for a record, in milliseconds. */
+  /** How long a read waits at the store for a record, in milliseconds. */
   readonly waitMs: number;
-  /** The pause between reads, in milliseconds: each costs processor time and a call. */
+  /** The pause between reads, in milliseconds: each read costs processor time and a call. */
   readonly gapMs: number;
 }
 
-/** Reads whose time counts for what is usual: some seconds of them. */
+/** The number of reads, over some seconds, whose duration counts as recent. */
 const RECENT_READS = 4;
 
-/** What a view may be older beyond the time of its reads, in milliseconds. */
+/** Margin on the expected age of a view beyond the time of its reads, in milliseconds. */
 const AGE_MARGIN_MS = 100;
 
 /** The shortest pause after a read, in milliseconds. */
 const MIN_GAP_MS = 25;
 
-/** The pause after a failed read, in milliseconds: short, as an outage may end at any moment. */
+/** The pause after a failed read, in milliseconds: short, as an outage may end at any time. */
 const RETRY_MS = 150;
 
 /**
- * Follows a keyed log: the newest record of each key first, then every record as it comes. When
- * records it needs have expired, it starts anew; nothing it was told before is then valid.
+ * Follows a keyed log: emits the newest record of each key first, then every record as it is
+ * written. When records that it needs have expired, it starts over with a `reset`, which
+ * invalidates all earlier messages.
  */
 export class KeyedFollower {
   readonly #source: KeyedLog;
@@ -49,24 +50,24 @@
 
   #next: number | undefined;
 
-  /** How often the view was given up for a new one. */
+  /** How many times the view was discarded by `reload`. */
   #reloads = 0;
 
-  #freshMs = -Infinity;
+  #completeAsOfMs = -Infinity;
 
   #isLoaded = false;
 
-  /** The furthest that the log was known to reach. */
+  /** The highest end of the log that is known. */
   #knownEnd = 0;
 
   #isLost = false;
 
-  /** What the newest reads took beyond their wait at the store, in milliseconds. */
-  readonly #tookMs: number[] = [];
+  /** The durations of the latest reads without their wait at the store, in milliseconds. */
+  readonly #recentReadsMs: number[] = [];
 
   readonly messages$ = new Subject<FollowerMessage>();
 
-  /** Tells when reads begin to fail. */
+  /** Emits when reads start to fail. */
   readonly lost$ = new Subject<void>();
 
   constructor(source: KeyedLog, log: NodeLog, settings: FollowerSettings) {
@@ -78,7 +79,7 @@
 
   /** When the view was last known to be complete, on the steady clock. */
   get completeAsOfMs(): number {
-    return this.#freshMs;
+    return this.#completeAsOfMs;
   }
 
   /** Whether the log has been read to its end at least once. */
@@ -86,26 +87,31 @@
     return this.#isLoaded;
   }
 
-  /** Whether the newest read has failed. */
+  /** Whether the latest read has failed. */
   get isLost(): boolean {
     return this.#isLost;
   }
 
   /**
-   * How old the view becomes where nothing is written, while reads are answered as lately: when the
-   * next one is, the newest that is known is from the wait of the one before.
+   * The age that the view reaches when nothing is written and reads take as long as recently. Just
+   * before a read is answered, the view dates from the wait of the previous read at the store.
    */
   get expectedAgeMs(): number {
     const { waitMs } = this.#settings;
     return this.#gapMs + waitMs + 2 * this.recentReadMs + AGE_MARGIN_MS;
   }
 
-  /** What a read takes that does not wait for a record, in milliseconds: the slowest of the newest. */
+  /**
+   * The duration of a read that does not wait for a record, in milliseconds: the slowest of the
+   * latest reads.
+   */
   get recentReadMs(): number {
-    return Math.max(0, ...this.#tookMs);
+    return Math.max(0, ...this.#recentReadsMs);
   }
 
-  /** Where the view ends in the log; undefined before it is loaded. */
+  /**
+   * The offset of the log up to which the view is complete; undefined before the view is loaded.
+   */
   get next(): number | undefined {
     return this.#next;
   }
@@ -113,25 +119,25 @@
   /** Follows until stopped. */
   async run(): Promise<void> {
     while (!this.#stopping.signal.aborted) {
-      await this.#guarded();
+      await this.#readOnce();
     }
   }
 
-  /** Ends the present pause. */
+  /** Ends the current pause. */
   endPause(): void {
     this.#gap.end();
   }
 
-  /** Starts anew with the newest record of each key. */
+  /** Starts over with the newest record of each key. */
   reload(): void {
     this.#reloads += 1;
     this.#next = undefined;
-    this.#freshMs = -Infinity;
+    this.#completeAsOfMs = -Infinity;
     this.#isLoaded = false;
     this.endPause();
   }
 
-  /** From now on, how long to pause between reads, in milliseconds. */
+  /** Sets the pause between reads, in milliseconds. */
   setGap(gapMs: number): void {
     this.#gapMs = gapMs;
     this.endPause();
@@ -142,102 +148,109 @@
     this.#gap.end();
   }
 
-  async #guarded(): Promise<void> {
+  async #readOnce(): Promise<void> {
     try {
-      const before = this.#freshMs;
+      const beforeMs = this.#completeAsOfMs;
       if (this.#next === undefined) await this.#load();
       else await this.#read(this.#next);
-      this.#regained(before);
-      await this.#pause(this.#restMs());
+      this.#markRegained(beforeMs);
+      await this.#pause(this.#pauseMs());
     } catch (err) {
-      if (err instanceof RecordsExpiredError) this.#expired(err);
-      this.#lost(err);
+      if (err instanceof RecordsExpiredError) this.#recordsExpired(err);
+      this.#markLost(err);
       await this.#pause(RETRY_MS);
     }
   }
 
-  #expired({ first }: RecordsExpiredError): void {
+  #recordsExpired({ first }: RecordsExpiredError): void {
     this.#next = undefined;
     this.#knownEnd = Math.max(this.#knownEnd, first);
   }
 
   /**
-   * Loads the newest record of each key. The view counts as complete with the first read from there
-   * on: a store that has just dropped its history may answer with a page that is seconds old, and
-   * one that does not reach as far as the log did is not taken. From an older page than that, which
-   * a node that has read nothing before cannot know, the next read finds the records expired.
+   * Loads the newest record of each key. The view counts as complete after the first read that
+   * follows. A store that has just dropped its history may answer with a page that is seconds old,
+   * so a page that ends before the known end of the log is rejected. A node that has read nothing
+   * before cannot detect an old page; its next read finds that the records have expired.
    */
   async #load(): Promise<void> {
     const reloads = this.#reloads;
     let page = await this.#source.newest('');
     const { end } = page;
     this.#checkEnd(end);
-    // Until all pages are there, what is missing says nothing.
-    this.#freshMs = -Infinity;
+    // Until all pages are loaded, a missing record has no meaning.
+    this.#completeAsOfMs = -Infinity;
     this.#isLoaded = false;
     this.messages$.next({ kind: 'reset' });
     let { records } = page;
-    this.#tell(records);
+    this.#emitRecords(records);
     while (page.hasMore) {
       page = await this.#source.newest(records.at(-1)!.key);
       records = page.records;
-      this.#tell(records);
+      this.#emitRecords(records);
     }
     if (reloads !== this.#reloads) return;
-    // Read on from the first page's end: what changed while the pages came is read again.
+    // Continue from the end as of the first page, to read again what changed while the pages were
+    // loaded.
     this.#next = end;
     this.#isLoaded = true;
     this.messages$.next({ kind: 'caught-up' });
   }
 
-  /** @throws StoreUnavailableError where the log was known to reach further. */
+  /** @throws StoreUnavailableError if the log is known to extend beyond this end. */
   #checkEnd(end: number): void {
     if (end < this.#knownEnd) {
-      throw new StoreUnavailableError(`an answer from when the log ended at ${end}`);
+      throw new StoreUnavailableError(
+        `the store returned an old state of the log, with its end at ${end}`,
+      );
     }
     this.#knownEnd = end;
   }
 
   async #read(from: number): Promise<void> {
-    // After an outage the store is asked at once: a wait there would keep the view old for longer.
-    const waitMs = this.#isLost || this.#freshMs === -Infinity ? 0 : this.#settings.waitMs;
+    // After an outage, read without waiting: a wait at the store would keep the view out of date
+    // for longer.
+    const waitMs = this.#isLost || this.#completeAsOfMs === -Infinity ? 0 : this.#settings.waitMs;
     const reloads = this.#reloads;
     const sentMs = steadyMs();
     const { records, next, end, asOfMs } = await this.#source.read(from, waitMs);
     if (reloads !== this.#reloads) return;
     this.#checkEnd(end);
-    this.#took(steadyMs() - sentMs - (records.length > 0 ? 0 : waitMs));
-    this.#tell(records);
+    this.#recordReadTime(steadyMs() - sentMs - (records.length > 0 ? 0 : waitMs));
+    this.#emitRecords(records);
     this.#next = next;
     if (next >= end) {
-      this.#freshMs = Math.max(this.#freshMs, asOfMs);
+      this.#completeAsOfMs = Math.max(this.#completeAsOfMs, asOfMs);
       this.messages$.next({ kind: 'caught-up' });
     }
   }
 
-  #took(ms: number): void {
-    this.#tookMs.push(ms);
-    if (this.#tookMs.length > RECENT_READS) this.#tookMs.shift();
+  #recordReadTime(ms: number): void {
+    this.#recentReadsMs.push(ms);
+    if (this.#recentReadsMs.length > RECENT_READS) this.#recentReadsMs.shift();
   }
 
-  #tell(records: readonly KeyedRecord[]): void {
+  #emitRecords(records: readonly KeyedRecord[]): void {
     for (const rec of records) this.messages$.next({ kind: 'record', rec });
   }
 
-  #lost(err: unknown): void {
+  #markLost(err: unknown): void {
     if (this.#isLost || this.#stopping.signal.aborted) return;
     this.#isLost = true;
     const reason = err instanceof Error ? err.message : String(err);
     this.#log.emit('warn', 'log-lost', {
       log: this.#settings.name,
       reason,
-      ageMs: ageMs(this.#freshMs),
+      ageMs: ageMs(this.#completeAsOfMs),
     });
     this.lost$.next();
   }
 
-  /** The view was known to be complete then; it is again now. */
-  #regained(beforeMs: number): void {
+  /**
+   * Marks the end of an outage. `beforeMs`: when the view was known to be complete before this
+   * read.
+   */
+  #markRegained(beforeMs: number): void {
     if (!this.#isLost) return;
     this.#isLost = false;
     this.#log.emit('info', 'log-regained', {
@@ -248,13 +261,14 @@
   }
 
   /**
-   * How long to pause after a read: until the view is as old as a pause is long. A whole pause after
-   * each answer of a slow store lets the view grow so old that the node says it is not ready.
+   * Returns how long to pause after a read: until the view is as old as a pause is long. With a
+   * full pause after each answer of a slow store, the view would become so old that the node
+   * reports that it is not ready.
    */
-  #restMs(): number {
-    const oldMs = steadyMs() - this.#freshMs;
-    if (this.#freshMs === -Infinity) return 0;
-    return Math.max(Math.min(MIN_GAP_MS, this.#gapMs), this.#gapMs - oldMs);
+  #pauseMs(): number {
+    const viewAgeMs = steadyMs() - this.#completeAsOfMs;
+    if (this.#completeAsOfMs === -Infinity) return 0;
+    return Math.max(Math.min(MIN_GAP_MS, this.#gapMs), this.#gapMs - viewAgeMs);
   }
 
   async #pause(ms: number): Promise<void> {
@@ -263,7 +277,7 @@
   }
 }
 
-/** How old a view is, in whole milliseconds; undefined where there is none yet. */
-function ageMs(freshMs: number): number | undefined {
-  return freshMs === -Infinity ? undefined : Math.round(steadyMs() - freshMs);
+/** Returns the age of a view in whole milliseconds; undefined if it was never complete. */
+function ageMs(completeAsOfMs: number): number | undefined {
+  return completeAsOfMs === -Infinity ? undefined : Math.round(steadyMs() - completeAsOfMs);
 }
--- a/packages/runtime/src/internal/leader-watch.ts
+++ b/packages/runtime/src/internal/leader-watch.ts
@@ -6,41 +6,42 @@
 import type { LeaderRecord, NodeProcess } from './work-records.js';
 
 /**
- * After a change of the scheduling node the others connect to it spread over this time, in
- * milliseconds: just then it has the most to do.
+ * After a change of leader, the other nodes spread their connections to it over this time, in
+ * milliseconds, as the new leader has the most work then.
  */
 const CONNECT_SPREAD_MS = 1_000;
 
-/** The pause after an attempt that did not reach it, in milliseconds. */
+/** The pause after a failed connection attempt, in milliseconds. */
 const RETRY_MS = 1_000;
 
-/** A connection that ended sooner than this is not opened again at once, in milliseconds. */
-const BRIEF_MS = 1_000;
+/** A connection that ended sooner than this is reopened only after a pause, in milliseconds. */
+const SHORT_CONNECTION_MS = 1_000;
 
 /**
- * A node claims no more often than this on the ground that the leader's process is gone: a network may
- * close and refuse connections to a process that lives.
+ * The minimum time between claims that a node makes because the leader's process has ended, in
+ * milliseconds: a network may close and refuse connections to a live process.
  */
-const CLAIM_GAP_MS = 10_000;
+const MIN_CLAIM_INTERVAL_MS = 10_000;
 
 /**
- * How a connection to the scheduling node, or an attempt at one, has ended.
+ * How a connection to the leader, or an attempt at one, has ended.
  *
- * - `closed`: it was open.
- * - `refused`: nothing listens at its address.
- * - `replaced`: another process does.
- * - `unreached`: nobody answered.
+ * - `closed`: the connection was open.
+ * - `refused`: nothing listens at the address.
+ * - `replaced`: another process listens at the address.
+ * - `unreached`: the attempt got no answer.
  */
 type WatchEnd = 'closed' | 'refused' | 'replaced' | 'unreached';
 
 /**
- * Keeps a connection to the process that schedules, to learn at once when it ends. The system closes
- * the connections of a process that is killed, and refuses new ones; both together say that it is
- * gone, however slow the store is. Silence alone says nothing: the process may be frozen, or behind
- * a cut. Nor does a refusal where no connection was open: such a network would refuse the next
- * scheduling node as well, and the role would go round.
+ * Keeps a connection to the leader's process to detect its end immediately. The operating system
+ * closes the connections of a killed process and refuses new ones; both together mean that the
+ * process has ended, however slow the store is. Silence alone means nothing: the process may be
+ * frozen or behind a network partition. A refusal without an earlier open connection means nothing
+ * either: a network that refuses connections would refuse those to the next leader as well, and
+ * leadership would keep changing.
  *
- * It only makes the next node claim sooner. Whether it gets the role is settled by the store.
+ * The watch only makes the next node claim sooner; the store decides which node becomes leader.
  */
 export class LeaderWatch {
   readonly #peers: PeerPort;
@@ -49,33 +50,33 @@
 
   #watchedEpoch = 0;
 
-  #goneEpoch = 0;
+  #endedEpoch = 0;
 
-  /** When this node last claimed on this ground, on the steady clock. */
+  /** When this node last claimed because the leader's process had ended, on the steady clock. */
   #claimedMs = -Infinity;
 
   #watching = new AbortController();
 
-  /** Called when the process of the scheduling node is gone. */
-  readonly #onGone: () => void;
+  /** Called when the leader's process has ended. */
+  readonly #onProcessEnd: () => void;
 
-  constructor(peers: PeerPort, log: NodeLog, onGone: () => void) {
+  constructor(peers: PeerPort, log: NodeLog, onProcessEnd: () => void) {
     this.#peers = peers;
     this.#log = log;
-    this.#onGone = onGone;
+    this.#onProcessEnd = onProcessEnd;
   }
 
-  /** Whether this node may claim the role as the process that schedules by this record is gone. */
+  /** Whether this node may claim leadership because the process of this leader record has ended. */
   hasProcessEnded({ epoch }: LeaderRecord, nowMs: number): boolean {
-    return epoch === this.#goneEpoch && nowMs - this.#claimedMs >= CLAIM_GAP_MS;
+    return epoch === this.#endedEpoch && nowMs - this.#claimedMs >= MIN_CLAIM_INTERVAL_MS;
   }
 
-  /** This node claims the role on this ground. */
+  /** Called when this node claims leadership because the leader's process has ended. */
   claimed(nowMs: number): void {
     this.#claimedMs = nowMs;
   }
 
-  /** A record of the scheduling node was read. */
+  /** Processes a leader record and watches the process of a new leader. */
   leaderSeen(leader: LeaderRecord): void {
     if (leader.epoch === this.#watchedEpoch) return;
     this.#watchedEpoch = leader.epoch;
@@ -100,18 +101,18 @@
     await delay(randomInt(CONNECT_SPREAD_MS), signal);
     let wasOpen = false;
     while (!signal.aborted) {
-      const beganMs = steadyMs();
+      const startedMs = steadyMs();
       const end = await this.#untilEnd(process, signal);
       if (signal.aborted) return;
       if (end === 'replaced' || (end === 'refused' && wasOpen)) {
-        this.#goneEpoch = epoch;
+        this.#endedEpoch = epoch;
         this.#log.emit('info', 'leader-gone', { epoch, leader: node, reason: end });
-        this.#onGone();
+        this.#onProcessEnd();
         return;
       }
       wasOpen ||= end === 'closed';
-      const isBrief = steadyMs() - beganMs < BRIEF_MS;
-      if (end !== 'closed' || isBrief) await delay(RETRY_MS, signal);
+      const isShort = steadyMs() - startedMs < SHORT_CONNECTION_MS;
+      if (end !== 'closed' || isShort) await delay(RETRY_MS, signal);
     }
   }
 
@@ -124,7 +125,7 @@
     }
     const close = (): void => link.close();
     signal.addEventListener('abort', close);
-    // Another process at the address: the one that schedules has ended before.
+    // Another process answers at the address, so the leader's process has ended.
     if (link.peer.processId !== id) close();
     else await link.closed;
     signal.removeEventListener('abort', close);
--- a/packages/runtime/src/internal/leader-writer.ts
+++ b/packages/runtime/src/internal/leader-writer.ts
@@ -2,27 +2,27 @@
 import type { NodeLog } from '../node-log.js';
 import { delay, steadyMs } from './delay.js';
 
-/** The writer's name under which the store keeps the epoch of the scheduling node. */
+/** The writer name under which the store keeps the epoch of the leader. */
 export const LEADER_WRITER = 'scheduler';
 
-/** The pause before an append that was not answered or was refused is repeated, in ms. */
+/** The pause before an unanswered or refused append is repeated, in milliseconds. */
 const REPEAT_MS = 100;
 
-/** Bytes in one append at most, well under what the store takes in one call. */
+/** Maximum size of one append in bytes, well below the limit of the store. */
 const MAX_BYTES = 512 * 1024;
 
-/** The append with which the scheduling node has taken its role. */
+/** The append with which the leader has claimed leadership. */
 export interface StoredClaim {
   readonly epoch: number;
   readonly sequence: number;
-  /** When it was sent, on the steady clock: it may have been stored, and read, much later. */
+  /** When it was sent, on the steady clock; it may have been stored and read much later. */
   readonly sentMs: number;
 }
 
 /**
- * Appends as the scheduling node of one epoch. An append without an answer is repeated with its
- * own sequence number until the store says what became of it, so none is stored twice and none is
- * overtaken; a node that was replaced learns it from its next append.
+ * Appends records as the leader of one epoch. An append without an answer is repeated with the same
+ * sequence number until the store reports its outcome, so no append is stored twice or out of
+ * order. A leader that was replaced finds out with its next append.
  */
 export class LeaderWriter {
   readonly #target: KeyedLog;
@@ -35,8 +35,8 @@
 
   #confirmedMs: number;
 
-  /** Ends the wait for the answer to the append that is under way. */
-  #goOn: (() => void) | undefined;
+  /** Confirms the append in flight and ends the wait for its answer. */
+  #confirmInFlight: (() => void) | undefined;
 
   readonly #stopping = new AbortController();
 
@@ -54,20 +54,20 @@
   }
 
   /**
-   * The last record of the newest append, which was sent then, was read back: all of it is stored,
-   * whatever became of the answer. The next append need not wait for that: what may still come of
-   * this one is a repeat, which the store does not take after its successor.
+   * Called when the last record of the newest append, sent at `sentMs`, was read back: all of it is
+   * stored, even if its answer is lost. The next append need not wait for that answer: all that may
+   * still arrive at the store is a repeat, which the store rejects after a later append.
    */
   readBack(sentMs: number): void {
     this.#confirmedMs = Math.max(this.#confirmedMs, sentMs);
-    this.#goOn?.();
+    this.#confirmInFlight?.();
   }
 
   stop(): void {
     this.#stopping.abort();
   }
 
-  /** Stores the records in order; false once another node has taken over. */
+  /** Stores the records in order; returns false once another node has taken over. */
   async write(records: readonly KeyedWrite[]): Promise<boolean> {
     for (const part of split(records)) {
       if (!(await this.#writePart(part))) return false;
@@ -79,17 +79,17 @@
     this.#sequence += 1;
     const stamp = { writer: LEADER_WRITER, epoch: this.#epoch, sequence: this.#sequence };
     const readBack = new Promise<AppendResult>((resolve) => {
-      this.#goOn = () => resolve({ outcome: 'appended', reason: 'read-back' });
+      this.#confirmInFlight = () => resolve({ outcome: 'appended', reason: 'read-back' });
     });
-    // Others may have read the first attempt, although its answer was lost.
+    // Others may have read the first attempt although its answer was lost.
     const sentMs = steadyMs();
     const isStored = await this.#repeat(records, stamp, readBack);
-    this.#goOn = undefined;
+    this.#confirmInFlight = undefined;
     if (isStored) this.#confirmedMs = Math.max(this.#confirmedMs, sentMs);
     return isStored;
   }
 
-  /** Appends until the store says what became of it, or the log shows it. */
+  /** Repeats an append until the store reports its outcome or the log shows it. */
   async #repeat(
     records: readonly KeyedWrite[],
     stamp: WriterStamp,
--- a/packages/runtime/src/internal/poll-until-settled.ts
+++ b/packages/runtime/src/internal/poll-until-settled.ts
@@ -1,25 +1,25 @@
 import { Pause } from './delay.js';
 
-/** Waits for what is under way, and meanwhile calls `look` again and again, so many ms apart. */
+/** Waits until `pending` is settled and calls `poll` at the given interval meanwhile. */
 export async function pollUntilSettled<T>(
-  underWay: Promise<T>,
-  everyMs: number,
-  look: () => void,
+  pending: Promise<T>,
+  intervalMs: number,
+  poll: () => void,
 ): Promise<T> {
   const settled = new Pause();
-  let isUnderWay = true;
-  const looking = async (): Promise<void> => {
-    while (isUnderWay) {
-      await settled.wait(everyMs);
-      if (isUnderWay) look();
+  let isPending = true;
+  const pollLoop = async (): Promise<void> => {
+    while (isPending) {
+      await settled.wait(intervalMs);
+      if (isPending) poll();
     }
   };
-  const looks = looking();
+  const polling = pollLoop();
   try {
-    return await underWay;
+    return await pending;
   } finally {
-    isUnderWay = false;
+    isPending = false;
     settled.end();
-    await looks;
+    await polling;
   }
 }
--- a/packages/runtime/src/internal/timing.ts
+++ b/packages/runtime/src/internal/timing.ts
@@ -1,194 +1,209 @@
-/**
- * The times on which the safety of scheduling rests, in milliseconds unless said otherwise.
- */
+/** Time bounds that the safety of scheduling depends on, in milliseconds unless noted. */
 
-/** A worker's clock runs this much slower than true time at most (the platform's figure: 2%). */
+/** Bound on how much slower than true time a worker's clock runs; the platform specifies 2%. */
 export const CLOCK_DRIFT_FACTOR = 1.021;
 
-/** Between reading a clock and using the reading, generously. */
+/** Generous allowance for the time between reading a clock and using the reading. */
 export const CLOCK_MARGIN_MS = 100;
 
 /**
- * No lease is longer, whatever the platform allows. The tasks of a worker that vanished wait until
- * its leases are over; with ten seconds a signal watch was silent for eleven.
+ * Longest lease, even where the platform allows more. The tasks of a worker that disappears are
+ * restarted only after its leases expire; with ten seconds, a monitoring task was down for eleven.
  */
 export const LEASE_MS = 6_000;
 
 /**
- * No lease ends later than this after the scheduling node sent the newest append that the store has
- * confirmed. A later node that cannot ask a worker waits no longer, counted from the newest record
- * of the one before. Users take a lasting task that is away for nine seconds for lost, and reading
- * that record, the next round and the start may take a second together. It bounds, too, for how long
- * a store may be away before work ends.
+ * No lease ends later than this after the leader sent the newest append that the store has
+ * confirmed. A later leader that cannot contact a worker waits no longer than this, counted from
+ * the newest record of the previous leader. Users regard a long-running task that is down for nine
+ * seconds as lost, and reading that record, the next round and the start can take a second
+ * together. The value also bounds how long the store may be unavailable before running tasks end.
  */
 export const CONFIRMED_LEASE_MS = 7_600;
 
 /**
- * The same for a claim of the role, until the first append of the term is confirmed: as long as one
- * lease. With four seconds everything that ran was lost where the answers of the store were lost for
- * five; with more, a node that is replaced at once would hold up for longer what it never reached.
+ * The same bound for a claim of leadership, until the first append of the term is confirmed: the
+ * length of one lease. With four seconds, all running tasks were lost when the answers of the store
+ * were lost for five. A higher value would delay the tasks of workers that a leader never contacted
+ * before it was itself replaced.
  */
 export const CLAIM_LEASE_MS = 6_000;
 
-/** Nodes whose records do not say how long their leases last gave them for so long at most. */
+/** Longest lease of nodes whose records do not state how long their leases last. */
 export const DEFAULT_LEASE_MS = 9_000;
 
-/** A lease of this length is over after so long, on the slowest clock of a worker too. */
+/**
+ * Returns the time after which a lease of this length has expired even on the slowest worker clock.
+ */
 export function withClockDrift(leaseMs: number): number {
   return leaseMs * CLOCK_DRIFT_FACTOR + CLOCK_MARGIN_MS;
 }
 
-/** A worker that lives has answered its first renewal by then, in milliseconds. */
+/** A live worker answers its first renewal within this time. */
 export const FIRST_ANSWER_MS = 300;
 
 /**
- * While only half of the usual lease may be given or less, a renewal waits no longer than this at
- * the worker, so that the next one comes soon after the store has confirmed more.
+ * Longest time that a renewal waits at the worker while at most half of the usual lease may be
+ * granted, so that the next renewal follows soon after the store confirms more.
  */
 export const SHORT_RENEW_WAIT_MS = 300;
 
 /**
- * A worker that missed a renewal and has not answered for so long is named in the record of the
- * scheduling node, and gets no lease until a record without it is stored. Where something runs a
- * worker answers each second, and one whose connection was reset within the next 150 ms.
+ * A worker that missed a renewal and has not answered for this long is listed as silent in the
+ * leader's record, and gets no lease until a record that does not list it is stored. A worker with
+ * running tasks answers every second, and within another 150 ms if its connection was reset.
  */
 export const SILENT_WORKER_MS = 1_200;
 
-/** So many silent workers are named at most: some 50 KB, a fifth of the largest record. */
+/**
+ * Maximum number of silent workers listed in a record: about 50 KB, a fifth of the largest record.
+ */
 export const MAX_SILENT_NAMED = 2_000;
 
 /**
- * With more silent workers than this the scheduling node's record goes with an append each quarter of
- * a second only. Every node reads each append, some forty a second: with a hundred workers named that
- * is 0.1 MB a second, a tenth of what the smallest link carries.
+ * With more silent workers than this, the leader's record accompanies an append only every quarter
+ * of a second. Every node reads every append, about forty a second: with a hundred workers listed
+ * that is 0.1 MB per second, a tenth of the capacity of the smallest link.
  */
 export const COMPACT_RECORD_MAX_SILENT = 100;
 
-/** The scheduling node writes at least this often, so that the others see that it lives. */
+/** The leader writes at least this often to show the other nodes that it is alive. */
 export const LEADER_WRITE_INTERVAL_MS = 250;
 
 /**
- * A leader that has written nothing for so long is replaced, where its writes were seen regularly
- * before: three of them missed, and the time of a read. Each tenth of a second more is one in which
- * no job of any caller begins.
+ * A leader whose writes were regular is replaced after it has written nothing for this long: three
+ * missed writes plus the time of a read. During each further tenth of a second no new job starts.
  */
 export const LEADER_SILENT_MS = 1_100;
 
 /**
- * The same where its writes were far apart lately: with a store that takes some hundred
- * milliseconds for an answer, a claim only stands in the way of the leader that it takes for dead.
+ * The same timeout where the leader's writes were recently far apart: with a store that takes some
+ * hundred milliseconds per answer, a claim only delays a leader that is still alive.
  */
 export const SLOW_LEADER_SILENT_MS = 1_700;
 
-/** Claims of several nodes are spread over this time, so that the first one is seen by the rest. */
+/** Claims of several nodes are spread over this time so that the others see the first one. */
 export const CLAIM_SPREAD_MS = 400;
 
-/** The same of large nodes, which are few, and read a leader's last record at different times. */
+/**
+ * The same spread for large nodes, which are few and read a leader's last record at different
+ * times.
+ */
 export const LARGE_CLAIM_SPREAD_MS = 60;
 
 /**
- * Much smaller nodes claim so much later than large ones. A large node reads the leader's last record
- * up to 260 ms after a small one, looks up to 100 ms later whether the role is free, and draws up to
- * 60 ms; 30 ms are left for its claim to be stored.
+ * Delay by which much smaller nodes claim later than large ones. A large node reads the leader's
+ * last record up to 260 ms after a small one, checks up to 100 ms later whether leadership is
+ * vacant, and waits a random time of up to 60 ms; 30 ms remain for storing its claim.
  */
 export const SMALL_NODE_CLAIM_DELAY_MS = 450;
 
 /**
- * After the leader's process has ended the others leave the claim to the node that it has named, for
- * so long beyond two reads of the store: the first is its claim's, the second shows it.
+ * After the leader's process has ended, the other nodes leave the claim to the standby that the
+ * leader has named for this long plus two reads of the store: one precedes its claim, the other
+ * shows it.
  */
 export const STANDBY_PRIORITY_MS = 100;
 
 /**
- * A leader hands the role on, and is offered that, this long after its claim at the earliest: leases
- * of the term before are over or renewed by then, so no worker goes two changes without a renewal.
+ * Offers to take over leadership are made and accepted at the earliest this long after the leader's
+ * claim. By then the leases of the previous term have expired or were renewed, so no worker goes
+ * through two changes of leader without a renewal.
  */
 export const HAND_OVER_MIN_TERM_MS = 8_000;
 
 /**
- * After a hand-over that its successor did not take up no offer is heeded for so long, and after each
- * further one for so much longer: such an offer may be anybody's record, and each costs the time of
- * a claim.
+ * No offer is accepted for this long after a successor failed to take over, and for this much
+ * longer after each further failure: any client may have written such an offer, and each one costs
+ * the time of a claim.
  */
 export const HAND_OVER_BACKOFF_MS = 60_000;
 
-/** A larger node repeats its offer, or follows another's, no sooner than this. */
+/**
+ * A larger node repeats its offer, or follows another node's offer, at the earliest after this
+ * time.
+ */
 export const OFFER_INTERVAL_MS = 5_000;
 
-/** Offers of several nodes are spread over this time, so that the first is seen by the rest. */
+/** Offers of several nodes are spread over this time so that the others see the first one. */
 export const OFFER_SPREAD_MS = 2_000;
 
-/** With a store that takes longer than this for a read no node offers to take the role. */
+/**
+ * A node makes no offer to take over leadership while a read of the store takes longer than this.
+ */
 export const FAST_READ_MS = 150;
 
 /**
- * So long all others leave the claim to the successor that a leader has named. It reads that up to
- * 260 ms late, looks up to 100 ms later, and the others read its claim up to 260 ms after that.
+ * The other nodes leave the claim to the successor that a leader has named for this long. The
+ * successor reads the record up to 260 ms late and checks for a vacancy up to 100 ms later, and the
+ * others read its claim up to 260 ms after that.
  */
 export const SUCCESSOR_PRIORITY_MS = 800;
 
 /**
- * A start that has not reached its worker within this time takes no effect there any more; sooner
- * where the views that it rests on are old.
+ * A start that has not arrived at its worker within this time has no effect; the window is shorter
+ * where the views that the start is based on are old.
  */
 export const START_WINDOW_MS = 1_500;
 
 /**
- * No start is sent that must take effect sooner than this: a busy worker would refuse it as too late,
- * and its task would be bound and stored anew.
+ * No start is sent with a shorter window than this: a busy worker would reject it as too late, and
+ * its task would have to be bound and stored again.
  */
 export const MIN_START_WINDOW_MS = 250;
 
-/** How long one renewal waits at the worker for an end to report. */
+/** How long one renewal waits at the worker for an ended run to report. */
 export const RENEW_WAIT_MS = 1_000;
 
 /**
- * The same for a worker on which nothing runs. A worker gets no task once it has not answered for
- * 1.8 s. With a wait of two seconds every idle one was closed for a tenth of the time, and a job that
- * came just then began a quarter of a second late. What is left is for the calls, and a busy node.
+ * The same wait for a worker on which nothing runs. A worker gets no tasks after it has not
+ * answered for 1.8 s. With a wait of two seconds every idle worker was unavailable for a tenth of
+ * the time, and a job that arrived then started a quarter of a second late. The difference to 1.8 s
+ * is left for the calls and for delays on a busy node.
  */
 export const IDLE_RENEW_WAIT_MS = 1_600;
 
-/** The pause after a renewal that got no answer. */
+/** Pause after a renewal that got no answer. */
 export const RENEW_RETRY_MS = 150;
 
-/** A start without an answer is sent again so often before it is left to the reports. */
+/**
+ * How many times a start without an answer is sent; after that the reports of the worker decide.
+ */
 export const START_ATTEMPTS = 3;
 
-/** A run's progress may stand still for so long before it is taken to hang. */
+/** A run whose progress has stalled for this long is considered hung. */
 export const STALL_TIMEOUT_MS = 2_500;
 
-/** A stop whose run is still listed after so long is sent again. */
+/** A stop is sent again when its run is still listed after this time. */
 export const STOP_RETRY_MS = 1_200;
 
 /**
- * While an append is under way, stops that fall due are looked for so often. An append usually takes
- * 10 ms, so this costs nothing but where its answer is late or lost.
+ * Interval of checks for due stops while an append is in flight. An append usually takes 10 ms, so
+ * the checks cost nothing unless its answer is late or lost.
  */
 export const STOP_POLL_INTERVAL_MS = 100;
 
-/** The latest that the scheduling node looks at everything again without being told to. */
+/** The leader re-checks everything at least this often, even when nothing was reported. */
 export const MAX_ROUND_INTERVAL_MS = 250;
 
-/** Inputs that arrive within this time are decided on together. */
+/** Inputs that arrive within this time are handled in one round. */
 export const INPUT_BATCH_MS = 3;
 
 /**
- * A round looks for places no longer than this. It is one piece of work: meanwhile no lease is
- * renewed and no stop is sent. On a node with a third of a core its other parts take up to three
- * times as long, and all together half of the time in which the node's own record is due.
+ * Longest time that a round searches for placements. The search cannot be interrupted: no lease is
+ * renewed and no stop is sent meanwhile. On a node with a third of a core, the other parts of a
+ * round take up to three times as long, and the whole round up to half of the time in which the
+ * node's own record is due.
  */
 export const PLACEMENT_BUDGET_MS = 30;
 
 /**
- * After a round the node leaves as much time to its links and records as the round took, and this
- * at most: the next one writes the node's own record. With rounds that follow each other at once, a
- * node with a third of a core reached twenty workers of 440 a second, and the others' leases ended.
+ * After a round, the node leaves as much time for its links and records as the round took, up to
+ * this limit, as the next round writes the node's own record. With back-to-back rounds, a node with
+ * a third of a core contacted twenty of 440 workers per second, and the leases of the others
+ * expired.
  */
 export const MAX_ROUND_PAUSE_MS = 250;
 
-/**
- * Starts that are ordered and not sent yet take no longer than this to send. What turns out to be
- * urgent stands behind them.
- */
+/** Longest time that sending the queued starts may take; urgent orders queue behind them. */
 export const MAX_UNSENT_STARTS_MS = 1_000;
--- a/packages/runtime/src/leases.ts
+++ b/packages/runtime/src/leases.ts
@@ -1,6 +1,6 @@
 /**
- * What is safe about leases and starts, and what is told of them between scheduling nodes, apart from
- * sockets: for models that check it.
+ * The rules for safe leases and starts and the lease information that leaders pass on, without any
+ * sockets. Exported for models that check these rules.
  */
 export * from './internal/former-leases.js';
 export * from './internal/start-views.js';
