--- a/packages/decisions/src/chart.ts
+++ b/packages/decisions/src/chart.ts
@@ -1,4 +1,4 @@
-/** A state chart as data: for each state the events it takes and the states they lead to. */
+/** A state chart as data: the events that each state accepts and the state each event leads to. */
 export interface ChartFile<S extends string, E extends string> {
   readonly id: string;
   readonly initial: S;
@@ -7,19 +7,19 @@
   >;
 }
 
-/** A chart that was checked and flattened, so that a step is one look-up. */
+/** A validated state chart, flattened into one table so that a transition is a single lookup. */
 export class Chart<S extends string, E extends string> {
   readonly file: ChartFile<S, E>;
 
   readonly #table = new Map<string, S>();
 
   /**
-   * @param file - The chart; every state must be reachable and every final state a dead end.
-   * @throws Error that names the state at fault.
+   * @param file - The chart. Every state must be reachable; a final state must accept no event.
+   * @throws Error that names the invalid state.
    */
   constructor(file: ChartFile<S, E>) {
     this.file = file;
-    this.#flatten();
+    this.#buildTable();
     this.#checkReachable();
   }
 
@@ -27,25 +27,27 @@
     return this.file.initial;
   }
 
-  /** Returns the state that `event` leads to, or undefined where the state does not take it. */
+  /** Returns the state that `event` leads to, or undefined if `state` does not accept the event. */
   next(state: S, event: E): S | undefined {
     return this.#table.get(`${state} ${event}`);
   }
 
-  /** Whether the state is final: nothing leads out of it. */
+  /** Returns whether the state is final, which means that it accepts no event. */
   isFinal(state: S): boolean {
     return this.file.states[state].final === true;
   }
 
-  #flatten(): void {
+  #buildTable(): void {
     for (const [state, { on, final }] of this.#entries()) {
-      const steps = Object.entries(on) as [E, S][];
-      if (final && steps.length > 0) {
-        throw new Error(`chart ${this.file.id}: final state ${state} must take no event`);
+      const transitions = Object.entries(on) as [E, S][];
+      if (final && transitions.length > 0) {
+        throw new Error(`chart ${this.file.id}: final state ${state} must accept no event`);
       }
-      for (const [event, target] of steps) {
+      for (const [event, target] of transitions) {
         if (!(target in this.file.states)) {
-          throw new Error(`chart ${this.file.id}: ${state} leads to unknown state ${target}`);
+          throw new Error(
+            `chart ${this.file.id}: ${state} has a transition to unknown state ${target}`,
+          );
         }
         this.#table.set(`${state} ${event}`, target);
       }
@@ -53,14 +55,14 @@
   }
 
   #checkReachable(): void {
-    const reached = new Set<S>([this.file.initial]);
-    for (const state of reached) {
+    const reachable = new Set<S>([this.file.initial]);
+    for (const state of reachable) {
       const targets = Object.values(this.file.states[state].on) as S[];
-      targets.forEach((target) => reached.add(target));
+      targets.forEach((target) => reachable.add(target));
     }
     for (const [state] of this.#entries()) {
-      if (!reached.has(state)) {
-        throw new Error(`chart ${this.file.id}: nothing leads to state ${state}`);
+      if (!reachable.has(state)) {
+        throw new Error(`chart ${this.file.id}: no transition leads to state ${state}`);
       }
     }
   }
--- a/packages/decisions/src/charts/node.chart.ts
+++ b/packages/decisions/src/charts/node.chart.ts
@@ -5,7 +5,7 @@
 
 export type NodeEvent = 'caughtUp' | 'drain' | 'drained';
 
-/** The life of one node process. */
+/** The lifecycle of one node process. */
 const file: ChartFile<NodeState, NodeEvent> = {
   id: 'node',
   initial: 'starting',
--- a/packages/decisions/src/charts/request.chart.ts
+++ b/packages/decisions/src/charts/request.chart.ts
@@ -6,17 +6,18 @@
   'waiting' | 'sending' | 'uncertain' | 'sendingAgain' | 'answered' | 'notRun' | 'unknown';
 
 /**
- * - `send`: the request goes to an endpoint.
- * - `answer`: the headers of an answer came.
- * - `clean`: the send surely ran nothing.
- * - `lost`: the send may have run.
- * - `end`: it is not sent any more.
+ * - `send`: the request is sent to an endpoint.
+ * - `answer`: the headers of an answer arrived.
+ * - `clean`: the send failed and the endpoint certainly did not run the request.
+ * - `lost`: the send failed, but the endpoint may have run the request.
+ * - `end`: the request is not sent any more.
  */
 export type RequestEvent = 'send' | 'answer' | 'clean' | 'lost' | 'end';
 
 /**
- * One request over all its sends. Once a send was lost there is no way back to a state that ends
- * as `notRun`: a later send that surely ran nothing tells nothing about the lost one.
+ * The lifecycle of one request over all its sends. After a lost send, no state that ends as
+ * `notRun` is reachable any more: a later send that certainly did not run says nothing about the
+ * lost one.
  */
 const file: ChartFile<RequestState, RequestEvent> = {
   id: 'request',
@@ -34,7 +35,7 @@
 
 export const requestChart = new Chart(file);
 
-/** What came of one send, as the request's chart sees it. */
+/** The chart event for each result of one send. */
 export const SEND_EVENTS = {
   answer: 'answer',
   'not-sent': 'clean',
@@ -42,12 +43,12 @@
   lost: 'lost',
 } as const satisfies Record<string, RequestEvent>;
 
-/** Whether a request in this state may go to another endpoint. */
+/** Returns whether a request in this state may be sent to another endpoint. */
 export function maySend(state: RequestState, idempotent: boolean): boolean {
   return state === 'waiting' || (state === 'uncertain' && idempotent);
 }
 
-/** What to tell of a request that ends in this state without an answer. */
+/** Returns the outcome to report for a request that ends in this state without an answer. */
 export function unansweredOutcome(state: RequestState): Outcome {
   return requestChart.next(state, 'end') === 'notRun' ? 'not-run' : 'unknown';
 }
--- a/packages/decisions/src/charts/task-attempt.chart.ts
+++ b/packages/decisions/src/charts/task-attempt.chart.ts
@@ -3,13 +3,13 @@
 
 export type AttemptState = 'bound' | 'running' | 'revoked' | 'ended';
 
-/** `ended` comes with the worker's word, `lapsed` with the proof that the lease is over. */
+/** `ended` is proved by the worker's report, `lapsed` by the proof that the lease has expired. */
 export type AttemptEvent = 'running' | 'revoke' | 'ended' | 'lapsed';
 
 /**
- * One attempt of a task on one worker. There is no way back from `revoked`: only an `ended`
- * record, which needs a proof, frees the task for its next attempt. A lease proves nothing
- * before the attempt is revoked, since until then any node may renew it.
+ * The lifecycle of one attempt of a task on one worker. A revoked attempt can only end: an `ended`
+ * record, which needs a proof, frees the task for its next attempt. An expired lease is no proof
+ * for an attempt that has not been revoked, because any node may still renew it.
  */
 const file: ChartFile<AttemptState, AttemptEvent> = {
   id: 'task-attempt',
--- a/packages/decisions/src/control-fold.ts
+++ b/packages/decisions/src/control-fold.ts
@@ -36,17 +36,20 @@
 const ACCEPTED: ApplyResult = { accepted: true, voided: [] };
 
 /**
- * Folds the control stream of one data centre. It is deterministic: every node that has read the
- * same records has the same state.
+ * Folds the control stream of one data centre, that is, reduces its records to the current state.
+ * The fold is deterministic: every node that has read the same records has the same state. A record
+ * or an action that the fold rejects has no effect and is called voided.
  *
- * Invariants, kept here whatever a scheduler appends:
- * - only records of the current term take effect, so a paused holder that wakes is voided;
- * - a batch takes effect only on the state it was decided on, so an append that was given up and
- *   reaches the log late changes nothing;
- * - a task has one attempt that has not ended, so it runs in one place (see rebind/lease-expiry-tracker.ts
- *   for why `ended` is true when it is recorded);
- * - attempt n+1 resumes from the very checkpoint with which attempt n ended, and only it does;
- * - what is committed on a host never exceeds its capacity at the time of the binding.
+ * Invariants, enforced here regardless of what a scheduler appends:
+ * - only records of the current term take effect, so the records of a former holder that resumes
+ *   after a pause are voided;
+ * - a batch takes effect only on the state it was decided on, so an append that was abandoned by
+ *   its writer and reaches the log late changes nothing;
+ * - a task has at most one attempt that has not ended, so it runs in only one place (see
+ *   rebind/lease-expiry-tracker.ts for why an attempt has ended when `ended` is recorded);
+ * - attempt n+1 resumes from exactly the checkpoint with which attempt n ended, and no other
+ *   attempt resumes from it;
+ * - the resources committed on a host never exceed its capacity at the time of a binding.
  */
 export class ControlFold implements StreamFold<ControlSnapshot, ApplyResult> {
   #term = 0;
@@ -59,7 +62,7 @@
 
   readonly #tasks = new Map<string, TaskState>();
 
-  /** What passes look up; every change of a task goes through `#put`, which keeps it true. */
+  /** The index that passes query. Every change of a task goes through `#put`, which updates it. */
   readonly index = new TaskIndex();
 
   readonly #byOwner = new Map<string, Set<string>>();
@@ -78,12 +81,12 @@
     return this.#term;
   }
 
-  /** The node that holds the data centre, or undefined before the first claim. */
+  /** The node that holds the current term, or undefined before the first claim. */
   get holder(): string | undefined {
     return this.#holder;
   }
 
-  /** The offset of the last record folded; -1 before the first. */
+  /** The offset of the last folded record; -1 before the first. */
   get offset(): number {
     return this.#offset;
   }
@@ -93,7 +96,7 @@
     return this.#batchOffset;
   }
 
-  /** The nodes that may act on workers. */
+  /** The nodes that may start, renew and stop attempts on workers. */
   get members(): Members {
     return this.#members;
   }
@@ -110,32 +113,32 @@
     return this.#tasks;
   }
 
-  /** The tasks of a service or job. */
+  /** Returns the ids of the tasks of a service or job. */
   tasksOf(owner: string): ReadonlySet<string> {
     return this.#byOwner.get(owner) ?? new Set();
   }
 
-  /** An index that no task of the owner has had. */
+  /** Returns the lowest index above those of all tasks that the owner has had. */
   nextIndexOf(owner: string): number {
     return this.#nextIndex.get(owner) ?? 0;
   }
 
-  /** Whether a record with this id was folded: for an append whose answer was lost. */
+  /** Returns whether a record was folded; used to resolve an append whose answer was lost. */
   hasRecord(id: string): boolean {
     return this.#ids.has(id);
   }
 
   /**
-   * Takes the next record of the stream.
+   * Folds the next record of the stream.
    *
-   * @param offset - Its offset.
-   * @param value - The record as it came from the log; anything may stand there.
+   * @param offset - The offset of the record.
+   * @param value - The record as read from the log; it may have any content.
    */
   apply(offset: number, value: unknown): ApplyResult {
     this.#offset = offset;
     const record = controlRecordSchema.safeParse(value);
     if (!record.success) return { accepted: false, voided: ['foreign record'] };
-    // An append whose answer was lost is repeated by its writer: the second copy must not count.
+    // A writer repeats an append whose answer was lost. The second copy must have no effect.
     if (this.#ids.has(record.data.id)) return { accepted: false, voided: ['repeated record'] };
     this.#ids.add(record.data.id);
     if (record.data.type === 'claim') return this.#claim(record.data);
@@ -143,12 +146,12 @@
     return this.#batch(record.data);
   }
 
-  /** Takes note of a record that is no decision, such as a part of a snapshot. */
+  /** Advances the offset past a record that is not a decision, such as a part of a snapshot. */
   skip(offset: number): void {
     this.#offset = offset;
   }
 
-  /** The whole state as plain data: a fold that restores it goes on exactly as this one. */
+  /** Returns the complete state as plain data. A fold that restores it continues as this one does. */
   toSnapshot(): ControlSnapshot {
     return {
       offset: this.#offset,
@@ -165,12 +168,12 @@
     };
   }
 
-  /** Terms only go up: a state of an older one is refused. */
+  /** Terms never decrease, so a state of an older term is refused. */
   mayRestore(snapshot: ControlSnapshot): boolean {
     return snapshot.term >= this.#term;
   }
 
-  /** Puts the state of a snapshot in place of this one. */
+  /** Replaces the state of this fold with that of a snapshot. */
   restore(snapshot: ControlSnapshot): void {
     this.#offset = snapshot.offset;
     this.#term = snapshot.term;
@@ -178,19 +181,19 @@
     this.#members.restore(snapshot.members, snapshot.lastLeave);
     this.#batchOffset = snapshot.batchOffset;
     this.#lostWork = snapshot.lostWork;
-    refill(
+    replaceEntries(
       this.#hosts,
       snapshot.hosts.map((host) => [host.hostId, hostFromSnapshot(host)]),
     );
-    // The index has to forget the old tasks and learn the new ones, or a pass would plan on a
-    // state that is gone.
+    // The old tasks have to leave the index and the new ones to enter it, or a pass would plan on
+    // a state that has been replaced.
     this.#tasks.forEach((task) => this.index.replace(task, undefined));
-    refill(
+    replaceEntries(
       this.#tasks,
       snapshot.tasks.map((task) => [task.taskId, taskFromSnapshot(task)]),
     );
     this.#tasks.forEach((task) => this.index.replace(undefined, task));
-    refill(this.#nextIndex, snapshot.nextIndex);
+    replaceEntries(this.#nextIndex, snapshot.nextIndex);
     this.#byOwner.clear();
     this.#tasks.forEach(({ owner, taskId }) => this.#ownerTasks(owner).add(taskId));
     this.#ids.restore(snapshot.ids);
@@ -205,7 +208,7 @@
   }
 
   #claim(record: ClaimRecord): ApplyResult {
-    // Two nodes may claim the same term: the log's order decides, and the second is void.
+    // Two nodes may claim the same term: the first in log order wins, and the second is voided.
     if (record.term !== this.#term + 1) {
       return { accepted: false, voided: [`claims term ${record.term} after ${this.#term}`] };
     }
@@ -220,11 +223,12 @@
   }
 
   #batch(record: BatchRecord): ApplyResult {
-    // A holder that was paused and wakes up writes with its old term: none of it may count.
+    // A former holder that resumes after a pause writes with its old term. Its records must not
+    // take effect.
     if (record.term !== this.#term || record.holder !== this.#holder) {
       return { accepted: false, voided: [`term ${record.term} of ${record.holder} is over`] };
     }
-    // An append that its writer gave up can arrive after the writer decided anew.
+    // An append that its writer abandoned can arrive after the writer has decided again.
     if (record.base !== undefined && record.base !== this.#batchOffset) {
       return { accepted: false, voided: [`decided at ${record.base}, not ${this.#batchOffset}`] };
     }
@@ -236,18 +240,18 @@
         const { nodeId, incarnation } = action;
         left.push(...this.#members.leave(nodeId, incarnation, this.#offset));
       }
-      const reason = this.#act(action);
+      const reason = this.#applyAction(action);
       if (reason !== undefined) voided.push(`${action.type} ${subjectOf(action)}: ${reason}`);
     }
     return { accepted: true, voided, left };
   }
 
-  #act(action: ControlAction): string | undefined {
+  #applyAction(action: ControlAction): string | undefined {
     switch (action.type) {
       case 'host':
         return this.#putHost(action);
       case 'worker':
-        return this.#seeWorker(action);
+        return this.#recordIncarnation(action);
       case 'leave':
         return undefined;
       case 'bind':
@@ -265,23 +269,24 @@
 
   #putHost({ type: _type, ...host }: HostAction): undefined {
     const known = this.#hosts.get(host.hostId);
-    // A host that is gone keeps what is committed: its tasks may still run there.
-    const kept = known ?? {
+    // A removed host keeps its committed resources, because its tasks may still run there.
+    const retained = known ?? {
       committed: NO_RESOURCES,
       tasks: new Set<string>(),
       incarnationOffset: -1,
     };
-    this.#hosts.set(host.hostId, { ...kept, ...host });
+    this.#hosts.set(host.hostId, { ...retained, ...host });
   }
 
-  #seeWorker({ hostId, incarnation }: WorkerAction): string | undefined {
+  #recordIncarnation({ hostId, incarnation }: WorkerAction): string | undefined {
     const host = this.#hosts.get(hostId);
     if (!host) return 'host is not known';
     host.incarnation = incarnation;
     host.incarnationOffset = this.#offset;
     for (const taskId of host.tasks) {
       const task = this.#tasks.get(taskId);
-      // Bound before any report: nobody could start it yet, so it takes the first incarnation.
+      // The attempt was bound before the first report of the worker. No node could start it yet, so
+      // it belongs to the first incarnation.
       if (task && task.incarnation === undefined) {
         this.#put({ ...task, incarnation, offset: this.#offset });
       }
@@ -295,7 +300,7 @@
     const last = this.#tasks.get(action.taskId);
     const refusal = bindRefusal(last, action);
     if (refusal !== undefined) return refusal;
-    // The fold itself refuses: racing or mistaken schedulers cannot over-commit a host.
+    // The check is made in the fold so that racing or faulty schedulers cannot overcommit a host.
     if (!fits(action.resources, subtractResources(host.capacity, host.committed))) {
       return `host ${action.hostId} has no room`;
     }
@@ -312,11 +317,11 @@
     });
     host.committed = addResources(host.committed, action.resources);
     host.tasks.add(action.taskId);
-    this.#index(action);
+    this.#indexTask(action);
     return undefined;
   }
 
-  #index({ owner, taskId }: BindAction): void {
+  #indexTask({ owner, taskId }: BindAction): void {
     this.#ownerTasks(owner).add(taskId);
     this.#nextIndex.set(owner, Math.max(this.nextIndexOf(owner), taskIndexOf(taskId) + 1));
   }
@@ -324,27 +329,30 @@
   #running(action: RunningAction): string | undefined {
     const task = this.#tasks.get(action.taskId);
     const endpoint = action.endpoint ?? task?.endpoint;
-    return this.#step(action, { endpoint, checkpoint: action.checkpoint ?? task?.checkpoint });
+    return this.#transition(action, {
+      endpoint,
+      checkpoint: action.checkpoint ?? task?.checkpoint,
+    });
   }
 
   #revoke(action: RevokeAction): string | undefined {
-    return this.#step(action, { revokeReason: action.reason });
+    return this.#transition(action, { revokeReason: action.reason });
   }
 
   #end(action: EndedAction): string | undefined {
     const task = this.#tasks.get(action.taskId);
     const checkpoint = action.checkpoint ?? task?.checkpoint;
     const change = { outcome: action.outcome, checkpoint, endpoint: undefined };
-    const refusal = this.#step(action, change, action.proof === 'lease' ? 'lapsed' : 'ended');
+    const refusal = this.#transition(action, change, action.proof === 'lease' ? 'lapsed' : 'ended');
     if (refusal !== undefined || !task) return refusal;
     this.#release(task);
     if (action.outcome === 'completed') return undefined;
-    this.#countFailure(action);
-    if (task.kind === 'job') this.#countLost(checkpoint !== undefined, action.lostMs ?? 0);
+    this.#addFailure(action);
+    if (task.kind === 'job') this.#addLostWork(checkpoint !== undefined, action.lostMs ?? 0);
     return undefined;
   }
 
-  #countLost(resumes: boolean, lostMs: number): void {
+  #addLostWork(resumes: boolean, lostMs: number): void {
     const { resumable, afresh, lostMs: before } = this.#lostWork;
     this.#lostWork = {
       resumable: resumable + (resumes ? 1 : 0),
@@ -353,7 +361,7 @@
     };
   }
 
-  #countFailure({ taskId, outcome }: EndedAction): void {
+  #addFailure({ taskId, outcome }: EndedAction): void {
     const task = this.#tasks.get(taskId);
     if (!task || outcome !== 'failed') return;
     this.#put({ ...task, failures: task.failures + 1 });
@@ -368,12 +376,12 @@
     const host = this.#hosts.get(task.hostId);
     if (!host) return;
     host.tasks.delete(task.taskId);
-    // Sums of fractions drift; an empty host is a chance to begin anew.
+    // Sums of fractions accumulate rounding errors; an empty host allows a reset to zero.
     host.committed =
       host.tasks.size === 0 ? NO_RESOURCES : subtractResources(host.committed, task.resources);
   }
 
-  #step(
+  #transition(
     action: RunningAction | RevokeAction | EndedAction,
     change: Partial<TaskState>,
     event: AttemptEvent = action.type,
@@ -387,7 +395,7 @@
   }
 }
 
-function refill<K, V>(map: Map<K, V>, entries: readonly (readonly [K, V])[]): void {
+function replaceEntries<K, V>(map: Map<K, V>, entries: readonly (readonly [K, V])[]): void {
   map.clear();
   entries.forEach(([key, value]) => map.set(key, value));
 }
--- a/packages/decisions/src/control-snapshot.ts
+++ b/packages/decisions/src/control-snapshot.ts
@@ -4,17 +4,17 @@
 type HostSnapshot = ControlSnapshot['hosts'][number];
 type MutableHost = { -readonly [K in keyof HostState]: HostState[K] } & { tasks: Set<string> };
 
-/** A host as plain data. */
+/** Converts a host to plain data. */
 export function hostToSnapshot(host: HostState): HostSnapshot {
   return { ...host, committed: { ...host.committed }, tasks: [...host.tasks] };
 }
 
-/** The host that {@link hostToSnapshot} wrote. */
+/** Converts the result of {@link hostToSnapshot} back to a host. */
 export function hostFromSnapshot(host: HostSnapshot): MutableHost {
   return { ...host, tasks: new Set(host.tasks) } as unknown as MutableHost;
 }
 
-/** The task that stands in a snapshot. */
+/** Converts a task of a snapshot to the state of the fold. */
 export function taskFromSnapshot(task: ControlSnapshot['tasks'][number]): TaskState {
   return { ...task } as unknown as TaskState;
 }
--- a/packages/decisions/src/control-state.ts
+++ b/packages/decisions/src/control-state.ts
@@ -16,11 +16,11 @@
   readonly address: string;
   readonly capacity: Resources;
   readonly state: HostAction['state'];
-  /** The sum of what every attempt that has not ended was bound with. */
+  /** The total resources of all attempts bound to this host that have not ended. */
   readonly committed: Resources;
-  /** The tasks whose latest attempt is here and has not ended. */
+  /** The ids of the tasks whose latest attempt is bound to this host and has not ended. */
   readonly tasks: ReadonlySet<string>;
-  /** The worker's incarnation, or undefined before its first report was recorded. */
+  /** The incarnation of the worker process, or undefined before its first report is recorded. */
   readonly incarnation?: string | undefined;
   /** The offset of the record that named the incarnation. */
   readonly incarnationOffset: number;
@@ -40,33 +40,33 @@
   readonly incarnation?: string | undefined;
   /** The offset of the record that bound this attempt. */
   readonly boundOffset: number;
-  /** The offset of the record that changed it last; that of the revoke record once revoked. */
+  /** The offset of the last record that changed the task; once revoked, of the revoke record. */
   readonly offset: number;
   readonly endpoint?: string | undefined;
-  /** The newest checkpoint that a record names: the next attempt resumes from it. */
+  /** The newest recorded checkpoint, from which the next attempt resumes. */
   readonly checkpoint?: string | undefined;
   readonly outcome?: AttemptOutcome | undefined;
   readonly revokeReason?: string | undefined;
-  /** How many attempts came to their end without completing. */
+  /** The number of attempts that ended with the outcome `failed`. */
   readonly failures: number;
 }
 
-/** What evictions and lost workers cost: attempts of jobs that ended without completing. */
+/** The cost of evictions and lost workers: attempts of jobs that ended without completing. */
 export interface LostWork {
-  /** The next attempt resumes from a checkpoint. */
+  /** The number of attempts whose successor resumes from a checkpoint. */
   readonly resumable: number;
-  /** The next attempt starts afresh. */
+  /** The number of attempts whose successor starts from the beginning. */
   readonly afresh: number;
-  /** Work since the last checkpoint, as far as workers could tell, in milliseconds. */
+  /** Work lost since the last checkpoints, as far as workers reported it, in milliseconds. */
   readonly lostMs: number;
 }
 
-/** What became of one record. */
+/** The result of folding one record. */
 export interface ApplyResult {
-  /** Whether the record was of the current term (or a claim that won). */
+  /** Whether the record was accepted: of the current term, a successful claim, or a join. */
   readonly accepted: boolean;
-  /** Why a record or an action was voided; empty where all took effect. */
+  /** Why the record or some of its actions were voided; empty if all took effect. */
   readonly voided: readonly string[];
-  /** The memberships that this record ended, by their keys. */
+  /** The keys of the memberships that this record ended. */
   readonly left?: readonly string[] | undefined;
 }
--- a/packages/decisions/src/endpoint-picker.ts
+++ b/packages/decisions/src/endpoint-picker.ts
@@ -1,13 +1,13 @@
 import type { RandomSource } from './random.js';
 import type { Endpoint } from './routing-table.js';
 
-/** What an entry host knows about its own use of an endpoint. */
+/** An entry host's own use of an endpoint. */
 export interface EndpointLoad {
-  /** Requests of this entry host that the endpoint has not answered. */
+  /** The number of requests of this entry host that the endpoint has not answered yet. */
   readonly inFlight: number;
-  /** The most this entry host may have in flight there. */
+  /** The maximum number of requests that this entry host may have in flight at the endpoint. */
   readonly limit: number;
-  /** The smoothed latency in milliseconds; 0 where it is not known. */
+  /** The smoothed latency in milliseconds; 0 if it is not known. */
   readonly latencyMs: number;
 }
 
@@ -17,35 +17,35 @@
 export abstract class EndpointPicker {
   /**
    * @param endpoints - The candidates.
-   * @param loadOf - The load of each.
-   * @returns One with room, or undefined where all are full.
+   * @param loadOf - Returns the load of a candidate.
+   * @returns An endpoint below its limit, or undefined if all have reached it.
    */
   abstract pick(endpoints: readonly Endpoint[], loadOf: LoadOf): Endpoint | undefined;
 }
 
-/** Draws a few candidates with room and takes the one that its subclass deems least loaded. */
-abstract class LeastOfDrawn extends EndpointPicker {
+/** Samples a few candidates below their limits and picks the one with the lowest score. */
+abstract class LeastLoadedOfSample extends EndpointPicker {
   readonly #random: RandomSource;
 
-  readonly #draws: number;
+  readonly #sampleSize: number;
 
-  constructor(random: RandomSource, draws: number) {
+  constructor(random: RandomSource, sampleSize: number) {
     super();
     this.#random = random;
-    this.#draws = draws;
+    this.#sampleSize = sampleSize;
   }
 
   protected abstract score(load: EndpointLoad): number;
 
   override pick(endpoints: readonly Endpoint[], loadOf: LoadOf): Endpoint | undefined {
-    const open = openOf(endpoints, loadOf);
+    const available = belowLimit(endpoints, loadOf);
     let best: Endpoint | undefined;
     let bestScore = Infinity;
-    for (let i = 0; i < this.#draws && open.length > 0; i += 1) {
-      const drawn = open[this.#random.int(0, open.length - 1)];
-      const score = drawn ? this.score(loadOf(drawn)) : Infinity;
+    for (let i = 0; i < this.#sampleSize && available.length > 0; i += 1) {
+      const candidate = available[this.#random.int(0, available.length - 1)];
+      const score = candidate ? this.score(loadOf(candidate)) : Infinity;
       if (score < bestScore) {
-        best = drawn;
+        best = candidate;
         bestScore = score;
       }
     }
@@ -53,8 +53,8 @@
   }
 }
 
-/** The one with fewer requests of two that were drawn at random. */
-export class TwoChoices extends LeastOfDrawn {
+/** Picks the endpoint with fewer requests in flight out of two that are sampled at random. */
+export class TwoChoices extends LeastLoadedOfSample {
   constructor(random: RandomSource) {
     super(random, 2);
   }
@@ -64,32 +64,32 @@
   }
 }
 
-/** How many candidates the expected time is compared of: more would herd all hosts to one. */
-const DRAWS = 3;
+/** Number of candidates compared; with more, all entry hosts would converge on one endpoint. */
+const SAMPLE_SIZE = 3;
 
 /**
- * The one with the least expected time, by requests in flight and latency. A slow endpoint
- * holds few requests at a time, and its latency keeps it from looking idle for that.
+ * Picks the endpoint with the lowest expected time, estimated from requests in flight and latency.
+ * A slow endpoint may have few requests in flight; its latency keeps it from being taken for idle.
  */
-export class LeastExpectedTime extends LeastOfDrawn {
-  constructor(random: RandomSource, draws = DRAWS) {
-    super(random, draws);
+export class LeastExpectedTime extends LeastLoadedOfSample {
+  constructor(random: RandomSource, sampleSize = SAMPLE_SIZE) {
+    super(random, sampleSize);
   }
 
   protected override score({ inFlight, latencyMs }: EndpointLoad): number {
-    // Without the millisecond, all that were not measured would tie whatever their load.
+    // Without the added millisecond, all endpoints not measured yet would tie whatever their load.
     return (inFlight + 1) * (latencyMs + 1);
   }
 }
 
-function openOf(endpoints: readonly Endpoint[], loadOf: LoadOf): Endpoint[] {
+function belowLimit(endpoints: readonly Endpoint[], loadOf: LoadOf): Endpoint[] {
   return endpoints.filter((endpoint) => {
     const { inFlight, limit } = loadOf(endpoint);
     return inFlight < limit;
   });
 }
 
-/** Any endpoint with room: the baseline that a choice has to beat. */
+/** Picks any endpoint below its limit; a baseline that the other pickers have to beat. */
 export class RandomPicker extends EndpointPicker {
   readonly #random: RandomSource;
 
@@ -99,18 +99,20 @@
   }
 
   override pick(endpoints: readonly Endpoint[], loadOf: LoadOf): Endpoint | undefined {
-    const open = openOf(endpoints, loadOf);
-    return open.length === 0 ? undefined : open[this.#random.int(0, open.length - 1)];
+    const available = belowLimit(endpoints, loadOf);
+    return available.length === 0
+      ? undefined
+      : available[this.#random.int(0, available.length - 1)];
   }
 }
 
-/** One endpoint after another: the other baseline. */
+/** Picks the endpoints below their limits in turn; the other baseline. */
 export class RoundRobin extends EndpointPicker {
-  #turn = 0;
+  #picks = 0;
 
   override pick(endpoints: readonly Endpoint[], loadOf: LoadOf): Endpoint | undefined {
-    const open = openOf(endpoints, loadOf);
-    this.#turn += 1;
-    return open[this.#turn % Math.max(1, open.length)];
+    const available = belowLimit(endpoints, loadOf);
+    this.#picks += 1;
+    return available[this.#picks % Math.max(1, available.length)];
   }
 }
--- a/packages/decisions/src/host-list-filter.ts
+++ b/packages/decisions/src/host-list-filter.ts
@@ -1,33 +1,33 @@
 import type { ListedHost } from '@redwingcrank/protocol';
 import type { ControlFold } from './control-fold.js';
 
-/** Fewer than this part of a data centre's hosts may vanish at once without a second look. */
-const SUDDEN_SHARE = 0.5;
+/** If more than this share of a data centre's hosts disappears at once, removal is delayed. */
+const MAX_SUDDEN_SHARE = 0.5;
 
-/** What a look at the list comes to. */
+/** The result of filtering one version of the host list. */
 export interface FilteredHostList {
   readonly hosts: readonly ListedHost[];
-  /** Hosts that the list left out and that are kept until it has done so for long enough. */
+  /** Ids of hosts that the list omits and that are kept until it has omitted them long enough. */
   readonly retained: readonly string[];
 }
 
 /**
- * Judges the platform's host list before anything acts on it. The list lags and may be wrong: one
- * that is suddenly empty would declare every host gone, and every task on them would be started
- * elsewhere. So where more than half of a data centre's hosts vanish at once they are kept until
- * every look during `confirmMs` has left them out. What the list does show (new hosts, leaving
- * ones) counts at once: it only takes work away from a host or offers one more.
+ * Filters the platform's host list before it takes effect. The list lags and may be wrong: a list
+ * that is suddenly empty would declare all hosts removed, and their tasks would be started
+ * elsewhere. If more than half of a data centre's hosts disappear at once, they are therefore
+ * retained until every list during `confirmMs` has omitted them. Hosts that the list contains (new
+ * or leaving ones) take effect at once: they only add a host or take work away from one.
  */
 export class HostListFilter {
   readonly #confirmMs: number;
 
   #accepted = new Map<string, ListedHost>();
 
-  /** Since when each host has been left out by every look. */
+  /** The time since which every list has omitted a host, by host id. */
   readonly #missingSince = new Map<string, number>();
 
-  /** Hosts that were accepted as gone and have not come back. */
-  readonly #dropped = new Set<string>();
+  /** Hosts whose removal was accepted and that have not reappeared. */
+  readonly #removed = new Set<string>();
 
   #newestVersion = -Infinity;
 
@@ -36,11 +36,13 @@
   }
 
   /**
-   * @param listed - The list as it came.
-   * @param known - Hosts that the control stream holds: the measure of a node's first look.
-   * @param nowMs - The time of the look, in milliseconds of any steady clock.
-   * @param version - The list's own version where it has one; an older list is passed over.
-   * @returns What to act on, or undefined where the list is older than one seen before.
+   * Filters a list that was just received.
+   *
+   * @param listed - The list as received.
+   * @param known - The hosts in the control stream, with which a node compares its first list.
+   * @param nowMs - The current time, in milliseconds of any monotonic clock.
+   * @param version - The version of the list, if it has one; an older list is ignored.
+   * @returns The hosts to act on, or undefined if the list is older than a previous one.
    */
   filter(
     listed: readonly ListedHost[],
@@ -52,46 +54,48 @@
     this.#newestVersion = version ?? this.#newestVersion;
     for (const { hostId } of listed) {
       this.#missingSince.delete(hostId);
-      this.#dropped.delete(hostId);
+      this.#removed.delete(hostId);
     }
-    const before = this.#before(known);
-    const shown = new Map(listed.map((host) => [host.hostId, host]));
-    const heldBack = [...this.#heldBack(before, shown, nowMs)];
-    this.#accepted = new Map([...heldBack.map((host) => [host.hostId, host] as const), ...shown]);
-    return { hosts: [...this.#accepted.values()], retained: heldBack.map((host) => host.hostId) };
+    const previous = this.#previousHosts(known);
+    const present = new Map(listed.map((host) => [host.hostId, host]));
+    const retained = [...this.#retainMissing(previous, present, nowMs)];
+    this.#accepted = new Map([...retained.map((host) => [host.hostId, host] as const), ...present]);
+    return { hosts: [...this.#accepted.values()], retained: retained.map((host) => host.hostId) };
   }
 
-  #before(known: Iterable<ListedHost>): ListedHost[] {
+  #previousHosts(known: Iterable<ListedHost>): ListedHost[] {
     const all = new Map([...known].map((host) => [host.hostId, host]));
     this.#accepted.forEach((host, hostId) => all.set(hostId, host));
-    return [...all.values()].filter(({ hostId }) => !this.#dropped.has(hostId));
+    return [...all.values()].filter(({ hostId }) => !this.#removed.has(hostId));
   }
 
-  *#heldBack(
-    before: readonly ListedHost[],
-    shown: ReadonlyMap<string, ListedHost>,
+  *#retainMissing(
+    previous: readonly ListedHost[],
+    present: ReadonlyMap<string, ListedHost>,
     nowMs: number,
   ): Generator<ListedHost> {
-    const missing = before.filter(({ hostId }) => !shown.has(hostId));
-    const total = countByDataCentre(before);
-    const gone = countByDataCentre(missing);
+    const missing = previous.filter(({ hostId }) => !present.has(hostId));
+    const totalCounts = countByDataCentre(previous);
+    const missingCounts = countByDataCentre(missing);
     for (const host of missing) {
-      const since = this.#missingSince.get(host.hostId) ?? nowMs;
-      this.#missingSince.set(host.hostId, since);
+      const missingSince = this.#missingSince.get(host.hostId) ?? nowMs;
+      this.#missingSince.set(host.hostId, missingSince);
       const { dataCentre } = host;
-      const sudden = (gone.get(dataCentre) ?? 0) > (total.get(dataCentre) ?? 0) * SUDDEN_SHARE;
-      if (sudden && nowMs - since < this.#confirmMs) yield host;
-      else this.#drop(host.hostId);
+      const sudden =
+        (missingCounts.get(dataCentre) ?? 0) >
+        (totalCounts.get(dataCentre) ?? 0) * MAX_SUDDEN_SHARE;
+      if (sudden && nowMs - missingSince < this.#confirmMs) yield host;
+      else this.#remove(host.hostId);
     }
   }
 
-  #drop(hostId: string): void {
-    this.#dropped.add(hostId);
+  #remove(hostId: string): void {
+    this.#removed.add(hostId);
     this.#missingSince.delete(hostId);
   }
 }
 
-/** The hosts of a data centre that its control stream holds, as a list would show them. */
+/** Yields the hosts in the control stream of a data centre, in the form of the host list. */
 export function* listedHostsOf(fold: ControlFold, dataCentre: string): Generator<ListedHost> {
   for (const { hostId, rack, address, capacity, state } of fold.hosts.values()) {
     if (state !== 'gone') yield { hostId, dataCentre, rack, address, capacity, state };
--- a/packages/decisions/src/manifest-fold.ts
+++ b/packages/decisions/src/manifest-fold.ts
@@ -8,16 +8,16 @@
   | { readonly accepted: true; readonly offset: number; readonly manifest: Manifest }
   | ({ readonly accepted: false } & ManifestRejection);
 
-/** How many rejections are kept for operators to see; they travel with the state. */
-const KEPT_REJECTIONS = 50;
+/** Maximum number of rejections kept for operators; they are part of every snapshot. */
+const MAX_KEPT_REJECTIONS = 50;
 
-/** The longest explanation that is kept; a bad manifest may have thousands of faults. */
-const MAX_DETAIL = 1_000;
+/** Maximum detail of a rejection in characters: a bad manifest may have thousands of faults. */
+const MAX_DETAIL_CHARS = 1_000;
 
 /**
- * Folds the manifest stream. Invariant: the version in force only goes up, and every reader of
- * the same records has the same manifest in force, since the verdict on a record depends on
- * nothing but the records before it.
+ * Folds the manifest stream. Invariant: the version in force never decreases, and every reader of
+ * the same records has the same manifest in force, because the verdict on a record depends only on
+ * the records before it.
  */
 export class ManifestFold implements StreamFold<ManifestSnapshot, ManifestVerdict> {
   #offset = -1;
@@ -41,38 +41,38 @@
     return this.#inForce?.version ?? 0;
   }
 
-  /** The newest rejections, oldest first: the same on every node that read as far. */
+  /** The newest rejections, oldest first; the same on all nodes that have read to this offset. */
   get rejections(): readonly ManifestRejection[] {
     return this.#rejections;
   }
 
   /**
-   * Takes the next record of the stream.
+   * Folds the next record of the stream.
    *
-   * @param offset - Its offset.
-   * @param value - The record as it came from the log; anything may stand there.
-   * @returns Whether it is in force now, or why not.
+   * @param offset - The offset of the record.
+   * @param value - The record as read from the log; it may have any content.
+   * @returns The manifest now in force, or why the record was rejected.
    */
   apply(offset: number, value: unknown): ManifestVerdict {
     this.#offset = offset;
     const record = manifestRecordSchema.safeParse(value);
     if (!record.success) return this.#reject('', 'foreign', 'not a manifest record');
     const { id } = record.data;
-    // An append whose answer was lost may be on the log twice: the second copy is no race.
+    // An append whose answer was lost may be in the log twice. The second copy is not a conflict.
     if (id === this.#acceptedId) {
       return this.#reject(id, 'repeated', 'a second copy of the one in force');
     }
     const reading = readManifest(record.data.manifest);
     if (!reading.ok) return this.#reject(id, 'invalid', describe(reading.faults));
     const { manifest } = reading;
-    // The first valid successor wins. Without this check a late racer, or an old manifest that
-    // is replayed, would undo what others already act on.
+    // The first valid successor wins. Without this check, a manifest that lost the race or is
+    // replayed later would undo a manifest that nodes already act on.
     if (manifest.replaces !== this.version) {
       const detail = `replaces ${manifest.replaces}, but ${this.version} is in force`;
       return this.#reject(id, 'conflict', detail);
     }
-    const moves = [...jobMoves(this.#inForce, manifest)];
-    if (moves.length > 0) return this.#reject(id, 'invalid', describe(moves));
+    const moveFaults = [...movedJobFaults(this.#inForce, manifest)];
+    if (moveFaults.length > 0) return this.#reject(id, 'invalid', describe(moveFaults));
     this.#inForce = manifest;
     this.#acceptedId = id;
     return { accepted: true, offset, manifest };
@@ -91,7 +91,7 @@
     };
   }
 
-  /** A state with a lower version, or with other contents under the same one, is refused. */
+  /** Refuses a state with a lower version, or with other contents under the same version. */
   mayRestore(state: ManifestSnapshot): boolean {
     const reading = readManifest(state.manifest);
     if (!reading.ok) return state.manifest === undefined && this.version === 0;
@@ -108,10 +108,10 @@
   }
 
   #reject(id: string, reason: ManifestRejection['reason'], text: string): ManifestVerdict {
-    const detail = text.slice(0, MAX_DETAIL);
+    const detail = text.slice(0, MAX_DETAIL_CHARS);
     const rejection: ManifestRejection = { offset: this.#offset, id, reason, detail };
     this.#rejections.push(rejection);
-    if (this.#rejections.length > KEPT_REJECTIONS) this.#rejections.shift();
+    if (this.#rejections.length > MAX_KEPT_REJECTIONS) this.#rejections.shift();
     return { accepted: false, ...rejection };
   }
 }
@@ -121,15 +121,16 @@
 }
 
 /**
- * Jobs that a manifest would move to another data centre. The old one may be cut off and run the
- * tasks on while the new one starts them: they would run twice, so no manifest may do it.
+ * Yields a fault for each job that a manifest would move to another data centre. The old data
+ * centre may be cut off and continue to run the tasks while the new one starts them, so the tasks
+ * would run twice. Moving a job is therefore not allowed.
  */
-function* jobMoves(inForce: Manifest | undefined, next: Manifest): Generator<Fault> {
-  const places = new Map(inForce?.jobs.map((job) => [job.name, job.dataCentre]));
+function* movedJobFaults(inForce: Manifest | undefined, next: Manifest): Generator<Fault> {
+  const dataCentres = new Map(inForce?.jobs.map((job) => [job.name, job.dataCentre]));
   for (const [i, { name, dataCentre }] of next.jobs.entries()) {
-    const place = places.get(name);
-    if (place !== undefined && place !== dataCentre) {
-      const expected = `${place}, where job ${name} is in force`;
+    const current = dataCentres.get(name);
+    if (current !== undefined && current !== dataCentre) {
+      const expected = `${current}, where job ${name} is in force`;
       yield { path: `jobs.${i}.dataCentre`, expected, found: dataCentre };
     }
   }
--- a/packages/decisions/src/observe-report.ts
+++ b/packages/decisions/src/observe-report.ts
@@ -2,11 +2,11 @@
 import type { ControlFold, TaskState } from './control-fold.js';
 
 /**
- * What a worker's report adds to the state. Reports may be late, repeated or out of order. What
- * a worker says about an attempt that has ended stays true for ever. What follows from the
- * worker's silence about an attempt, or from its incarnation, holds only where the report was
- * asked for after the record that it is compared with: an older one speaks of an earlier state,
- * and would end an attempt that has only just been started.
+ * Yields the actions that follow from a worker's report. Reports may be late, repeated or out of
+ * order. A report that an attempt has ended remains true forever. Conclusions from an attempt that
+ * is not listed, or from the worker's incarnation, are valid only if the report was requested after
+ * the record it is compared with: an older report describes an earlier state, and would end an
+ * attempt that has only just been started.
  */
 export function* observeReport(
   fold: ControlFold,
@@ -18,10 +18,10 @@
   if (host.incarnation !== incarnation && askedOffset >= host.incarnationOffset) {
     yield { type: 'worker', hostId, incarnation };
   }
-  const listed = new Map(report.tasks.map((seen) => [`${seen.taskId}#${seen.attempt}`, seen]));
+  const reported = new Map(report.tasks.map((seen) => [`${seen.taskId}#${seen.attempt}`, seen]));
   for (const taskId of host.tasks) {
     const task = fold.tasks.get(taskId);
-    const seen = task && listed.get(`${taskId}#${task.attempt}`);
+    const seen = task && reported.get(`${taskId}#${task.attempt}`);
     if (seen) yield* observeListed(task, seen, { askedOffset, report });
     else if (task && askedOffset >= task.offset) yield* observeUnlisted(task, report);
   }
@@ -35,8 +35,8 @@
   const { taskId, attempt } = task;
   const { endpoint, checkpoint, lostMs, state } = seen;
   if (state !== 'running') {
-    // A restarted worker that is asked to stop what it does not know says that it has stopped,
-    // while the orphan of its earlier incarnation still runs.
+    // A restarted worker that is told to stop an attempt it does not know reports it as stopped,
+    // although an orphan of the earlier incarnation may still run.
     if (report.orphans && report.incarnation !== task.incarnation) return;
     yield {
       type: 'ended',
@@ -49,18 +49,18 @@
     };
     return;
   }
-  // A checkpoint of an older report must not take the place of a newer one.
-  const news = checkpoint !== task.checkpoint && checkpoint !== undefined;
-  const newer = news && askedOffset >= task.offset && task.state === 'running';
-  if (task.state === 'bound' || newer) {
+  // The checkpoint of an older report must not replace a newer one.
+  const changed = checkpoint !== task.checkpoint && checkpoint !== undefined;
+  const newCheckpoint = changed && askedOffset >= task.offset && task.state === 'running';
+  if (task.state === 'bound' || newCheckpoint) {
     yield { type: 'running', taskId, attempt, endpoint, checkpoint };
   }
 }
 
 /**
- * An attempt may be started only in the incarnation it was bound for. A later incarnation that
- * does not list it, and vouches that nothing unlisted runs, therefore says that it has ended and
- * will never start.
+ * Yields the actions for an attempt that the report does not list. An attempt may be started only
+ * in the incarnation it was bound for. If a later incarnation does not list it and reports that it
+ * has no orphans, that is, no unlisted tasks, the attempt has ended and will never start.
  */
 function* observeUnlisted(task: TaskState, report: WorkerReport): Generator<ControlAction, void> {
   const { taskId, attempt } = task;
--- a/packages/decisions/src/placement.ts
+++ b/packages/decisions/src/placement.ts
@@ -4,50 +4,52 @@
 import type { PlacementView } from './policy/placement-view.js';
 import type { ReplicaCounts } from './policy/replica-counts.js';
 
-/** What a task asks of its place. */
+/** What a task requires of its host. */
 export interface PlacementNeed {
   readonly owner: string;
   readonly kind: 'service' | 'job';
   readonly resources: Resources;
-  /** Racks on which it may run; empty for all. */
+  /** The racks on which the task may run; empty if it may run on all. */
   readonly racks: readonly string[];
-  /** Urgent work goes beside a service it disturbs rather than wait or cost evictions. */
+  /** Urgent tasks may interfere with a service rather than wait or cause evictions. */
   readonly urgent?: boolean;
-  /** For a replica: where the others of its service stand. */
+  /** For a replica: the locations of the other replicas of its service. */
   readonly peers?: ReplicaCounts | undefined;
 }
 
-/** Chooses hosts. Policies differ; what fits is the same for all of them. */
+/** Chooses hosts for tasks. What fits on a host is the same for all policies. */
 export abstract class PlacementPolicy {
   /**
-   * @param need - What the task asks for.
-   * @param view - The hosts; the choice is not yet committed to it.
-   * @returns A host that has room, or undefined where none has.
+   * Chooses a host for a task.
+   *
+   * @param need - The requirements of the task.
+   * @param view - The hosts. The caller commits the choice to it.
+   * @returns A host with enough free capacity, or undefined if there is no such host.
    */
   abstract place(need: PlacementNeed, view: PlacementView): HostState | undefined;
 }
 
-/** So many hosts are compared: beyond the first few of a bucket the gain is small. */
-const COMPARED = 8;
+/** Maximum number of hosts compared: beyond the first few of a bucket, the gain is small. */
+const MAX_COMPARED = 8;
 
-/** So many hosts are asked for one task, also where the policy refuses them. */
-const MAX_SEEN = 64;
+/** Maximum number of hosts visited for one task, including those the policy refuses. */
+const MAX_VISITED = 64;
 
-/** Fills the fullest host first, which keeps room for large tasks; replicas stand apart. */
+/** Fills the fullest host first, which leaves capacity for large tasks, but spreads replicas. */
 export class BestFit extends PlacementPolicy {
   override place(need: PlacementNeed, view: PlacementView): HostState | undefined {
-    if (need.peers) return this.#apart(need, need.peers, view);
+    if (need.peers) return this.#spread(need, need.peers, view);
     let best: HostState | undefined;
     let refused: HostState | undefined;
     let compared = 0;
-    let seen = 0;
+    let visited = 0;
     for (const host of view.candidates(need)) {
-      seen += 1;
-      if (seen > MAX_SEEN) break;
+      visited += 1;
+      if (visited > MAX_VISITED) break;
       if (this.accepts(need, host)) {
         if (!best || view.room(host).cpu < view.room(best).cpu) best = host;
         compared += 1;
-        if (compared === COMPARED) break;
+        if (compared === MAX_COMPARED) break;
       } else {
         refused ??= host;
       }
@@ -55,16 +57,17 @@
     return best ?? (need.urgent ? refused : undefined);
   }
 
-  /** Whether a host that has room may be used; a policy that keeps tasks apart says no. */
+  /** Returns whether a host with enough capacity may be used; overridden to keep tasks apart. */
   protected accepts(_need: PlacementNeed, _host: HostState): boolean {
     return true;
   }
 
   /**
-   * A rack fails as a whole every week, and so does a host every day: the rack with the fewest
-   * replicas comes first, and on it the host with the fewest. The emptier one wins a tie.
+   * Spreads replicas: a whole rack fails every week, and a host every day. The rack with the fewest
+   * replicas is preferred, then the host with the fewest. A tie goes to the one with more free
+   * capacity.
    */
-  #apart(need: PlacementNeed, peers: ReplicaCounts, view: PlacementView): HostState | undefined {
+  #spread(need: PlacementNeed, peers: ReplicaCounts, view: PlacementView): HostState | undefined {
     if (view.isKnownUnplaceable(need)) return undefined;
     const racks = [...view.racks.keys()].sort(
       (a, b) => peers.onRack(a) - peers.onRack(b) || view.rackCpu(b) - view.rackCpu(a),
@@ -74,11 +77,11 @@
       const fitting = (view.racks.get(rack) ?? []).filter((host) =>
         fits(need.resources, view.room(host)),
       );
-      const open = fitting.filter((host) => this.accepts(need, host));
+      const accepted = fitting.filter((host) => this.accepts(need, host));
       refused ??= fitting[0];
-      if (open.length > 0) return open.reduce((a, b) => (isBetter(b, a) ? b : a));
+      if (accepted.length > 0) return accepted.reduce((a, b) => (isBetter(b, a) ? b : a));
     }
-    // A replica beside work that disturbs it is better than a replica that is missing.
+    // A replica beside tasks that interfere with it is better than a missing replica.
     if (!refused) view.markUnplaceable(need);
     return refused;
 
--- a/packages/decisions/src/plan.ts
+++ b/packages/decisions/src/plan.ts
@@ -11,26 +11,26 @@
 import type { PlanStep } from './policy/plan-step.js';
 import type { SchedulingMemory } from './policy/scheduling-memory.js';
 
-/** What one pass of the scheduler looks at. */
+/** The input of one pass, that is, one run of the scheduler. */
 export interface PlanInput {
   readonly dataCentre: string;
   readonly manifest: Manifest;
   readonly fold: ControlFold;
-  /** The platform's list, or undefined while it cannot be had. */
+  /** The platform's host list, or undefined while it is unavailable. */
   readonly listed: readonly ListedHost[] | undefined;
   readonly policy: PlacementPolicy;
-  /** Wall-clock time in milliseconds; without it deadlines and ages count for nothing. */
+  /** Wall-clock time in milliseconds; without it, deadlines and waiting times are ignored. */
   readonly nowMs?: number;
-  /** What the scheduler remembers from pass to pass. */
+  /** The state that the scheduler keeps between passes. */
   readonly memory?: SchedulingMemory;
-  /** Hosts that may look live but whose workers do not answer: nothing is placed there. */
+  /** Hosts whose workers do not answer, although the hosts may be live. No task is placed there. */
   readonly unreachable?: ReadonlySet<string>;
 }
 
 /**
- * One pass: compares what the manifest wants with what the fold holds, and yields the actions
- * that bring them together. It is a generator so that its driver can let other work run between
- * two steps; the fold must not change before the pass is over.
+ * Runs one pass: compares the manifest with the state of the fold and yields the actions that bring
+ * the state closer to the manifest. It is a generator so that its driver can run other work between
+ * two steps. The fold must not change before the pass is complete.
  */
 export function* planPass(input: PlanInput): Generator<PlanStep, void> {
   const hosts = yield* planHosts(input);
