--- a/packages/decisions/src/control-fold.ts
+++ b/packages/decisions/src/control-fold.ts
@@ -151,7 +151,7 @@
     this.#offset = offset;
   }
 
-  /** Returns the complete state as plain data. A fold that restores it continues as this one does. */
+  /** Returns the complete state as plain data. A fold that restores it continues identically. */
   toSnapshot(): ControlSnapshot {
     return {
       offset: this.#offset,
--- a/packages/decisions/src/policy/colocation-fit.ts
+++ b/packages/decisions/src/policy/colocation-fit.ts
@@ -5,19 +5,19 @@
 import type { InterferenceModel } from './interference.js';
 import type { PlacementView } from './placement-view.js';
 
-/** A host is left alone when a service's tail there would come this close to its target. */
-const TAIL_LIMIT = 0.9;
+/** A host is not used if a service's tail latency there would exceed this share of its target. */
+const MAX_LATENCY_RATIO = 0.9;
 
-/** Best fit that keeps pairs apart which the model has learned to go badly together. */
+/** Best fit that keeps services apart from batch work that degrades them according to the model. */
 export class ColocationFit extends BestFit {
   readonly #fold: ControlFold;
 
   readonly #model: InterferenceModel;
 
-  /** What was placed since the fold last moved: it is not in the fold yet. */
+  /** Tasks placed since the offset of the fold last changed, by host; the fold lacks them. */
   readonly #placed = new Map<string, { readonly owner: string; readonly cpu: number }[]>();
 
-  #placedAt = -1;
+  #placedAtOffset = -1;
 
   constructor(fold: ControlFold, model: InterferenceModel) {
     super();
@@ -26,8 +26,8 @@
   }
 
   override place(need: PlacementNeed, view: PlacementView): HostState | undefined {
-    if (this.#placedAt !== this.#fold.offset) this.#placed.clear();
-    this.#placedAt = this.#fold.offset;
+    if (this.#placedAtOffset !== this.#fold.offset) this.#placed.clear();
+    this.#placedAtOffset = this.#fold.offset;
     const host = super.place(need, view);
     if (host && need.kind === 'job') {
       const placed = this.#placed.get(host.hostId) ?? [];
@@ -39,10 +39,10 @@
 
   protected override accepts(need: PlacementNeed, host: HostState): boolean {
     const services = new Set<string>();
-    const beside = new Map<string, number>();
+    const batchCpuShares = new Map<string, number>();
     const count = (owner: string, cpu: number): void => {
       const kind = workloadKindOf(owner);
-      beside.set(kind, (beside.get(kind) ?? 0) + cpu / host.capacity.cpu);
+      batchCpuShares.set(kind, (batchCpuShares.get(kind) ?? 0) + cpu / host.capacity.cpu);
     };
     for (const taskId of host.tasks) {
       const task = this.#fold.tasks.get(taskId);
@@ -51,11 +51,13 @@
     }
     for (const { owner, cpu } of this.#placed.get(host.hostId) ?? []) count(owner, cpu);
     if (need.kind === 'job') count(need.owner, need.resources.cpu);
-    else return this.#model.predict(workloadKindOf(need.owner), beside) <= TAIL_LIMIT;
+    else
+      return this.#model.predict(workloadKindOf(need.owner), batchCpuShares) <= MAX_LATENCY_RATIO;
     for (const service of services) {
-      const adds =
+      const addsLatency =
         this.#model.cost(service, workloadKindOf(need.owner)) * need.resources.cpu > 1e-3;
-      if (adds && this.#model.predict(service, beside) > TAIL_LIMIT) return false;
+      if (addsLatency && this.#model.predict(service, batchCpuShares) > MAX_LATENCY_RATIO)
+        return false;
     }
     return true;
   }
--- a/packages/decisions/src/policy/colocation.ts
+++ b/packages/decisions/src/policy/colocation.ts
@@ -3,43 +3,46 @@
 import { InterferenceModel, workloadKindOf } from './interference.js';
 import { indexOf } from './manifest-index.js';
 
-/** Measurements taken this close to each other show the same moment of a host. */
-const SAME_MOMENT_MS = 2_500;
+/** Measurements taken at most this far apart are treated as simultaneous. */
+const SIMULTANEOUS_MS = 2_500;
 
-/** The part of a new measurement in the smoothed tail of a replica. */
-const FRESH_PART = 0.5;
+/** The weight of a new measurement in the smoothed tail latency of a replica. */
+const SAMPLE_WEIGHT = 0.5;
 
-/** A tail above its target this many measurements in a row calls for something. */
-const STREAK = 2;
+/** Action is taken when the latency has exceeded the target in this many reviews in a row. */
+const MISSES_BEFORE_ACTION = 2;
 
-/** Below this part of the target there is room to give back. */
-const CALM = 0.75;
+/** Below this ratio of latency to target, a throttle may be relaxed. */
+const LOW_LATENCY_RATIO = 0.75;
 
-/** An act shows in the reports only after their lag. */
-const SETTLE_MS = 25_000;
+/** An action shows in reports only after this lag, which must pass before the next action. */
+const REPORT_LAG_MS = 25_000;
 
-/** A calm of more than two such lags, so that a share is not raised on what an older act brought. */
-const RELAX_MS = 60_000;
+/**
+ * Latency must have been low for this long before a share is raised. It is more than two such lags,
+ * so that the low latency is not merely the effect of an earlier action.
+ */
+const LOW_LATENCY_MS = 60_000;
 
-/** Held to less, a task hardly gets on: then it is moved instead. */
-const LEAST_SHARE = 0.25;
+/** With a smaller share a task makes hardly any progress, so it is moved instead. */
+const MIN_SHARE = 0.25;
 
-interface Tail {
+interface TailLatency {
   readonly smoothed: number;
   readonly measuredMs: number;
 }
 
-interface HostGuard {
-  /** Measurements in a row above the target. */
-  streak: number;
-  calmSinceMs: number | undefined;
-  actedMs: number;
-  fresh: boolean;
-  /** The share that each kind of batch work is held to. */
+interface HostThrottle {
+  /** The number of consecutive reviews with a latency above the target. */
+  misses: number;
+  lowSinceMs: number | undefined;
+  lastActionMs: number;
+  hasNewSample: boolean;
+  /** The share of its resources to which each kind of batch work is limited. */
   readonly shares: Map<string, number>;
 }
 
-/** A task that is to be checkpointed and moved because it disturbs a service. */
+/** A task to be checkpointed and moved because it interferes with a service. */
 export interface TaskMove {
   readonly taskId: string;
   readonly attempt: number;
@@ -47,18 +50,19 @@
 }
 
 /**
- * Watches services and the batch work beside them: learns from usage reports which pairs go
- * badly together, and answers a tail that worsens with a throttle first, which costs little and
- * is undone at once, and with a move only where the throttle was not enough.
+ * Protects the tail latency of services from batch work on the same host. Learns from usage reports
+ * which batch work interferes with which service. If the latency of a service exceeds its target,
+ * batch work is first throttled, which costs little and is easily undone. A task is moved only if
+ * throttling is not enough.
  */
 export class Colocation {
   readonly model = new InterferenceModel();
 
-  readonly #tails = new Map<string, Tail>();
+  readonly #tailLatencies = new Map<string, TailLatency>();
 
-  readonly #guards = new Map<string, HostGuard>();
+  readonly #throttles = new Map<string, HostThrottle>();
 
-  /** Takes a worker's report; late, repeated and lost ones are normal. */
+  /** Learns from a worker's report. Reports may be late, repeated or lost. */
   observe(fold: ControlFold, manifest: Manifest, report: WorkerReport, nowMs: number): void {
     const host = fold.hosts.get(report.hostId);
     if (!host) return;
@@ -67,109 +71,116 @@
       const isHere = task?.hostId === report.hostId && task.attempt === usage.attempt;
       if (task && isHere && usage.latencyMs !== undefined) {
         const target = indexOf(manifest).services.get(task.owner)?.latencyTargetMs;
-        const tail = target === undefined ? undefined : usage.latencyMs / target;
-        if (tail !== undefined) this.#take(fold, host, { task, usage, tail, report, nowMs });
+        const latencyRatio = target === undefined ? undefined : usage.latencyMs / target;
+        if (latencyRatio !== undefined)
+          this.#addSample(fold, host, { task, usage, latencyRatio, report, nowMs });
       }
     }
   }
 
-  /** The share that a task is to be held to; 1 where it may use all it was bound with. */
+  /** Returns the share of its resources to which a task is limited; 1 if it is not throttled. */
   shareOf({ kind, hostId, owner }: TaskState): number {
     if (kind === 'service') return 1;
-    return this.#guards.get(hostId)?.shares.get(workloadKindOf(owner)) ?? 1;
+    return this.#throttles.get(hostId)?.shares.get(workloadKindOf(owner)) ?? 1;
   }
 
-  /** Decides on the hosts that were measured since the last review. */
+  /** Reviews the hosts with new measurements: adjusts throttles and yields the tasks to move. */
   *review(fold: ControlFold, nowMs: number): Generator<TaskMove> {
-    for (const [hostId, guard] of this.#guards) {
+    for (const [hostId, throttle] of this.#throttles) {
       const host = fold.hosts.get(hostId);
-      if (!host) this.#guards.delete(hostId);
-      else if (guard.fresh) yield* this.#judge(fold, host, guard, nowMs);
+      if (!host) this.#throttles.delete(hostId);
+      else if (throttle.hasNewSample) yield* this.#reviewHost(fold, host, throttle, nowMs);
     }
-    for (const taskId of this.#tails.keys()) {
+    for (const taskId of this.#tailLatencies.keys()) {
       const state = fold.tasks.get(taskId)?.state;
-      if (state === undefined || state === 'ended') this.#tails.delete(taskId);
+      if (state === undefined || state === 'ended') this.#tailLatencies.delete(taskId);
     }
   }
 
-  #take(
+  #addSample(
     fold: ControlFold,
     host: HostState,
     sample: {
       task: TaskState;
       usage: UsageReport;
-      tail: number;
+      latencyRatio: number;
       report: WorkerReport;
       nowMs: number;
     },
   ): void {
-    const { task, usage, tail, report, nowMs } = sample;
+    const { task, usage, latencyRatio, report, nowMs } = sample;
     const measuredMs = nowMs - usage.ageMs;
-    const last = this.#tails.get(task.taskId);
-    // The same measurement comes again with every report until there is a new one.
+    const last = this.#tailLatencies.get(task.taskId);
+    // Every report repeats the last measurement until there is a new one.
     if (last && measuredMs <= last.measuredMs + 1) return;
-    const batchCpuShares = partsOf(fold, host, report, usage.ageMs);
+    const batchCpuShares = batchCpuSharesOf(fold, host, report, usage.ageMs);
     const load = Math.min(1, usage.cpu / Math.max(task.resources.cpu, 1e-3));
-    this.model.learn({ service: workloadKindOf(task.owner), tail, load, batchCpuShares });
-    const smoothed = last ? last.smoothed + FRESH_PART * (tail - last.smoothed) : tail;
-    this.#tails.set(task.taskId, { smoothed, measuredMs });
-    this.#guardOf(host.hostId).fresh = true;
+    this.model.learn({ service: workloadKindOf(task.owner), latencyRatio, load, batchCpuShares });
+    const smoothed = last
+      ? last.smoothed + SAMPLE_WEIGHT * (latencyRatio - last.smoothed)
+      : latencyRatio;
+    this.#tailLatencies.set(task.taskId, { smoothed, measuredMs });
+    this.#throttleOf(host.hostId).hasNewSample = true;
   }
 
-  #guardOf(hostId: string): HostGuard {
-    const known = this.#guards.get(hostId);
+  #throttleOf(hostId: string): HostThrottle {
+    const known = this.#throttles.get(hostId);
     if (known) return known;
-    const guard: HostGuard = {
-      streak: 0,
-      calmSinceMs: undefined,
-      actedMs: -Infinity,
-      fresh: false,
+    const throttle: HostThrottle = {
+      misses: 0,
+      lowSinceMs: undefined,
+      lastActionMs: -Infinity,
+      hasNewSample: false,
       shares: new Map(),
     };
-    this.#guards.set(hostId, guard);
-    return guard;
+    this.#throttles.set(hostId, throttle);
+    return throttle;
   }
 
-  *#judge(
+  *#reviewHost(
     fold: ControlFold,
     host: HostState,
-    state: HostGuard,
+    state: HostThrottle,
     nowMs: number,
   ): Generator<TaskMove> {
-    const guard = state;
-    guard.fresh = false;
-    const worst = this.#worst(host);
+    const throttle = state;
+    throttle.hasNewSample = false;
+    const worst = this.#highestLatency(host);
     if (!worst) return;
-    guard.streak = worst.tail > 1 ? guard.streak + 1 : 0;
-    if (worst.tail >= CALM) guard.calmSinceMs = undefined;
-    else guard.calmSinceMs ??= nowMs;
-    if (nowMs - guard.actedMs < SETTLE_MS) return;
-    if (guard.streak >= STREAK) {
-      guard.actedMs = nowMs;
-      yield* this.#relieve(fold, host, guard, worst.taskId);
-    } else if (guard.calmSinceMs !== undefined && nowMs - guard.calmSinceMs >= RELAX_MS) {
-      relax(guard);
-      guard.actedMs = nowMs;
+    throttle.misses = worst.latencyRatio > 1 ? throttle.misses + 1 : 0;
+    if (worst.latencyRatio >= LOW_LATENCY_RATIO) throttle.lowSinceMs = undefined;
+    else throttle.lowSinceMs ??= nowMs;
+    if (nowMs - throttle.lastActionMs < REPORT_LAG_MS) return;
+    if (throttle.misses >= MISSES_BEFORE_ACTION) {
+      throttle.lastActionMs = nowMs;
+      yield* this.#reduceInterference(fold, host, throttle, worst.taskId);
+    } else if (throttle.lowSinceMs !== undefined && nowMs - throttle.lowSinceMs >= LOW_LATENCY_MS) {
+      raiseShares(throttle);
+      throttle.lastActionMs = nowMs;
     }
   }
 
-  #worst(host: HostState): { taskId: string; tail: number } | undefined {
-    let worst: { taskId: string; tail: number } | undefined;
+  #highestLatency(host: HostState): { taskId: string; latencyRatio: number } | undefined {
+    let worst: { taskId: string; latencyRatio: number } | undefined;
     for (const taskId of host.tasks) {
-      const tail = this.#tails.get(taskId)?.smoothed;
-      if (tail !== undefined && (!worst || tail > worst.tail)) worst = { taskId, tail };
+      const latencyRatio = this.#tailLatencies.get(taskId)?.smoothed;
+      if (latencyRatio !== undefined && (!worst || latencyRatio > worst.latencyRatio))
+        worst = { taskId, latencyRatio };
     }
     return worst;
   }
 
-  /** Throttles the kind that costs the service most here; moves a task of it after that. */
-  *#relieve(
+  /**
+   * Throttles the kind of batch work that interferes most with the service. If its share is already
+   * at the minimum, one of its tasks is moved.
+   */
+  *#reduceInterference(
     fold: ControlFold,
     host: HostState,
-    guard: HostGuard,
-    suffering: string,
+    throttle: HostThrottle,
+    affectedTaskId: string,
   ): Generator<TaskMove> {
-    const service = workloadKindOf(fold.tasks.get(suffering)?.owner ?? '');
+    const service = workloadKindOf(fold.tasks.get(affectedTaskId)?.owner ?? '');
     const batch = [...host.tasks]
       .map((taskId) => fold.tasks.get(taskId))
       .filter((task) => task?.kind === 'job' && task.state === 'running');
@@ -188,8 +199,8 @@
     }
     if (!worst) return;
     const share = this.shareOf(worst);
-    if (share > LEAST_SHARE) {
-      guard.shares.set(workloadKindOf(worst.owner), share / 2);
+    if (share > MIN_SHARE) {
+      throttle.shares.set(workloadKindOf(worst.owner), share / 2);
       return;
     }
     const { taskId, attempt } = worst;
@@ -197,27 +208,27 @@
   }
 }
 
-function relax(guard: HostGuard): void {
-  for (const [kind, share] of guard.shares) {
-    if (share * 2 >= 1) guard.shares.delete(kind);
-    else guard.shares.set(kind, share * 2);
+function raiseShares(throttle: HostThrottle): void {
+  for (const [kind, share] of throttle.shares) {
+    if (share * 2 >= 1) throttle.shares.delete(kind);
+    else throttle.shares.set(kind, share * 2);
   }
 }
 
-/** The part of the host's processors that each batch kind used when a measurement was taken. */
-function partsOf(
+/** Returns the share of the host's processors that each batch kind used at a measurement. */
+function batchCpuSharesOf(
   fold: ControlFold,
   host: HostState,
   report: WorkerReport,
   ageMs: number,
 ): Map<string, number> {
-  const parts = new Map<string, number>();
+  const cpuShares = new Map<string, number>();
   for (const usage of report.usage) {
     const task = fold.tasks.get(usage.taskId);
-    if (task?.kind === 'job' && Math.abs(usage.ageMs - ageMs) <= SAME_MOMENT_MS) {
+    if (task?.kind === 'job' && Math.abs(usage.ageMs - ageMs) <= SIMULTANEOUS_MS) {
       const kind = workloadKindOf(task.owner);
-      parts.set(kind, (parts.get(kind) ?? 0) + usage.cpu / host.capacity.cpu);
+      cpuShares.set(kind, (cpuShares.get(kind) ?? 0) + usage.cpu / host.capacity.cpu);
     }
   }
-  return parts;
+  return cpuShares;
 }
--- a/packages/decisions/src/policy/evictions.ts
+++ b/packages/decisions/src/policy/evictions.ts
@@ -7,66 +7,69 @@
 import type { PlanStep } from './plan-step.js';
 import { PAUSE } from './plan-step.js';
 
-/** What a running task of a tier is worth: four of one tier go before one of the next. */
-const TIER_FACTOR = 4;
+/** Eviction cost of a task relative to the next lower tier: it equals four tasks of that tier. */
+const TIER_COST_FACTOR = 4;
 
-/** So many hosts are compared for one eviction; the next one goes on from there. */
-const HOSTS_COMPARED = 600;
+/** Number of hosts compared for one eviction; the next eviction continues after them. */
+const MAX_HOSTS_COMPARED = 600;
 
 interface Candidate {
   readonly task: TaskState;
   readonly cost: number;
 }
 
-interface Offer {
+interface EvictionPlan {
   readonly host: HostState;
   readonly victims: readonly TaskState[];
   readonly cost: number;
 }
 
-/** Makes room for urgent tasks and replicas at the cost of the least valuable batch work. */
+/** Frees capacity for urgent tasks and replicas by evicting the least valuable batch work. */
 export class Evictions {
   readonly #ctx: PassContext;
 
-  /** What will come free on a host once its revoked attempts have ended. */
-  readonly #pending: Map<string, Resources>;
+  /** The resources that become free on a host once its revoked attempts have ended. */
+  readonly #pendingRelease: Map<string, Resources>;
 
   #cursor = 0;
 
   constructor(ctx: PassContext) {
     this.#ctx = ctx;
-    this.#pending = new Map(ctx.fold.index.pendingRelease);
+    this.#pendingRelease = new Map(ctx.fold.index.pendingRelease);
   }
 
   /**
-   * Keeps room for a task that found none. Room that is already being freed is used first:
-   * otherwise each pass until the evicted attempts have ended would evict more.
+   * Reserves capacity for a task that could not be placed. Capacity that is already being freed is
+   * used first: otherwise each pass until the evicted attempts have ended would evict more.
    *
-   * @param tier - Work of a higher tier than this is never evicted.
-   * @returns Whether room will come free; the task is bound by a later pass.
+   * @param tier - Tasks of a higher tier are never evicted.
+   * @returns Whether capacity becomes free; a later pass then binds the task.
    */
   *freeCapacityFor(need: PlacementNeed, tier: Tier): Generator<PlanStep, boolean> {
-    const freeing = this.#hostBeingFreed(need);
-    if (freeing) {
-      this.#ctx.view.commit(freeing, need.resources);
+    const hostBeingFreed = this.#hostBeingFreed(need);
+    if (hostBeingFreed) {
+      this.#ctx.view.commit(hostBeingFreed, need.resources);
       return true;
     }
-    const offer = yield* this.#cheapest(need, tier);
-    if (!offer) return false;
-    for (const task of offer.victims) {
-      this.#addPending(task);
+    const plan = yield* this.#cheapestPlan(need, tier);
+    if (!plan) return false;
+    for (const task of plan.victims) {
+      this.#addPendingRelease(task);
       yield this.#ctx.revoke(task, `room for ${need.owner}`);
     }
-    this.#ctx.view.commit(offer.host, need.resources);
+    this.#ctx.view.commit(plan.host, need.resources);
     return true;
   }
 
-  #addPending({ hostId, resources }: TaskState): void {
-    this.#pending.set(hostId, addResources(this.#pending.get(hostId) ?? NO_RESOURCES, resources));
+  #addPendingRelease({ hostId, resources }: TaskState): void {
+    this.#pendingRelease.set(
+      hostId,
+      addResources(this.#pendingRelease.get(hostId) ?? NO_RESOURCES, resources),
+    );
   }
 
   #hostBeingFreed(need: PlacementNeed): HostState | undefined {
-    for (const hostId of this.#pending.keys()) {
+    for (const hostId of this.#pendingRelease.keys()) {
       const host = this.#ctx.hosts.get(hostId);
       if (
         host?.state === 'live' &&
@@ -80,30 +83,30 @@
   }
 
   #fitsIn(need: PlacementNeed, host: HostState, freed: Resources): boolean {
-    const pending = this.#pending.get(host.hostId) ?? NO_RESOURCES;
-    const room = addResources(this.#ctx.view.room(host), addResources(pending, freed));
+    const pendingRelease = this.#pendingRelease.get(host.hostId) ?? NO_RESOURCES;
+    const room = addResources(this.#ctx.view.room(host), addResources(pendingRelease, freed));
     return fits(need.resources, room);
   }
 
-  *#cheapest(need: PlacementNeed, tier: Tier): Generator<PlanStep, Offer | undefined> {
+  *#cheapestPlan(need: PlacementNeed, tier: Tier): Generator<PlanStep, EvictionPlan | undefined> {
     const { hosts } = this.#ctx.view;
-    const compared = Math.min(HOSTS_COMPARED, hosts.length);
-    let best: Offer | undefined;
+    const compared = Math.min(MAX_HOSTS_COMPARED, hosts.length);
+    let best: EvictionPlan | undefined;
     for (let i = 0; i < compared; i += 1) {
       const host = hosts[(this.#cursor + i) % hosts.length];
       if (host && this.#ctx.pacer.due(host.tasks.size)) yield PAUSE;
-      const offer = host && allowsRack(need, host) ? this.#offerOf(host, need, tier) : undefined;
-      if (offer && (!best || offer.cost < best.cost)) best = offer;
+      const plan = host && allowsRack(need, host) ? this.#planFor(host, need, tier) : undefined;
+      if (plan && (!best || plan.cost < best.cost)) best = plan;
     }
     this.#cursor += compared;
     return best;
   }
 
-  #offerOf(host: HostState, need: PlacementNeed, tier: Tier): Offer | undefined {
+  #planFor(host: HostState, need: PlacementNeed, tier: Tier): EvictionPlan | undefined {
     if (!fits(need.resources, host.capacity)) return undefined;
     const victims: Candidate[] = [];
     let freed = NO_RESOURCES;
-    for (const candidate of this.#candidates(host, tier)) {
+    for (const candidate of this.#evictable(host, tier)) {
       victims.push(candidate);
       freed = addResources(freed, candidate.task.resources);
       if (this.#fitsIn(need, host, freed)) {
@@ -114,14 +117,20 @@
     return undefined;
   }
 
-  /** The least valuable first; of equals the one bound last, which has done the least. */
-  #candidates(host: HostState, tier: Tier): Candidate[] {
+  /**
+   * Returns the tasks that may be evicted, the least valuable first. Of equal ones, the last bound
+   * comes first, because it has done the least work.
+   */
+  #evictable(host: HostState, tier: Tier): Candidate[] {
     const candidates: Candidate[] = [];
     for (const taskId of host.tasks) {
       const task = this.#ctx.fold.tasks.get(taskId);
       const job = task?.kind === 'job' ? this.#ctx.manifest.jobs.get(task.owner) : undefined;
       if (task && job && this.#ctx.staysActive(task) && mayEvict(job, tier)) {
-        candidates.push({ task, cost: TIER_FACTOR ** (TIERS.length - TIERS.indexOf(job.tier)) });
+        candidates.push({
+          task,
+          cost: TIER_COST_FACTOR ** (TIERS.length - TIERS.indexOf(job.tier)),
+        });
       }
     }
     return candidates.reverse().sort((a, b) => a.cost - b.cost);
--- a/packages/decisions/src/policy/explain.ts
+++ b/packages/decisions/src/policy/explain.ts
@@ -12,7 +12,7 @@
 export type TaskStatus =
   'waiting' | 'starting' | 'running' | 'ending' | 'completed' | 'given-up' | 'not-wanted';
 
-/** One thing that bears on where a task runs or why it does not. */
+/** A fact that helps to explain where a task runs or why it does not run. */
 export type Reason =
   | { readonly code: 'not-in-manifest' }
   | { readonly code: 'waiting'; readonly reason: WaitReason | 'next-pass' }
@@ -23,7 +23,7 @@
       readonly onRack: number;
       readonly all: number;
     }
-  /** The part of its resources that it may use, because it disturbs a service. */
+  /** The share of its resources that the task may use, because it interferes with a service. */
   | { readonly code: 'throttled'; readonly share: number }
   | { readonly code: 'revoked'; readonly reason: string }
   | {
@@ -34,14 +34,14 @@
       readonly failures: number;
       readonly maxAttempts: number;
     }
-  /** How many hosts are left after each condition; `room` counts those with room now. */
+  /** Hosts left after each condition; `room` counts those with enough free capacity now. */
   | {
       readonly code: 'hosts';
       readonly live: number;
       readonly allowed: number;
       readonly large: number;
       readonly room: number;
-      /** Live hosts that get no work because they fail what they start. */
+      /** Hosts that get no work because they fail most of what they start. */
       readonly quarantined: number;
     }
   | {
@@ -50,7 +50,7 @@
       readonly used: Resources;
       readonly quota: Resources | undefined;
     }
-  /** Lower classes go first; in a class the team with the smaller share. Times in ms. */
+  /** Lower classes go first; within a class, the team with the smaller share. Times in ms. */
   | {
       readonly code: 'order';
       readonly jobClass: number;
@@ -59,7 +59,7 @@
       readonly waitedMs: number;
     };
 
-/** Why a task runs where it runs, or why it does not run. */
+/** Explains why a task runs on its host, or why it does not run. */
 export interface TaskExplanation {
   readonly taskId: string;
   readonly owner: string;
@@ -69,11 +69,11 @@
 }
 
 /**
- * Explains one task from the same state that a pass decides by. It costs about as much as a pass
- * without placements, so it is for a person who asks, not for a loop.
+ * Explains one task from the same state on which a pass decides. It costs about as much as a pass
+ * without placements, so it is meant for single requests by operators, not for a loop.
  *
- * @param unplaced - What the last pass could not place.
- * @returns The explanation, or undefined where no manifest and no record names the task.
+ * @param unplaced - The tasks that the last pass could not place.
+ * @returns The explanation, or undefined if neither the manifest nor any record names the task.
  */
 export function explainTask(
   input: PlanInput,
@@ -85,7 +85,7 @@
   while (!preparation.next().done);
   const task = input.fold.tasks.get(taskId);
   const owner = task?.owner ?? ownerOf(taskId, input.dataCentre);
-  const wanted = owner === undefined ? undefined : wantedBy(ctx, owner, task);
+  const wanted = owner === undefined ? undefined : wantedSpecOf(ctx, owner, task);
   if (owner === undefined || (!task && !wanted)) return undefined;
   const status = statusOf(task, wanted);
   const running = status === 'running' || status === 'starting' || status === 'ending';
@@ -111,7 +111,7 @@
   return dc === dataCentre && Number.isInteger(taskIndexOf(taskId)) ? owner : undefined;
 }
 
-function wantedBy(ctx: PassContext, owner: string, task?: TaskState): Wanted | undefined {
+function wantedSpecOf(ctx: PassContext, owner: string, task?: TaskState): Wanted | undefined {
   const service = ctx.manifest.services.get(owner);
   const job = ctx.manifest.jobs.get(owner);
   if (service && task?.kind !== 'job') return { kind: 'service', spec: service };
@@ -128,7 +128,7 @@
   if (task?.outcome === 'completed') return 'completed';
   if (!wanted) return 'not-wanted';
   if (!task) return 'waiting';
-  // A replica that ended is covered by another one, under an identity of its own.
+  // A replica that ended is replaced by a new replica with its own id.
   if (wanted.kind === 'service') return 'not-wanted';
   return task.failures >= wanted.spec.maxAttempts ? 'given-up' : 'waiting';
 }
--- a/packages/decisions/src/policy/host-health.ts
+++ b/packages/decisions/src/policy/host-health.ts
@@ -1,40 +1,40 @@
 import type { AttemptOutcome } from '@redwingcrank/protocol';
 import type { ControlFold } from '../control-fold.js';
 
-/** So many of a host's latest outcomes count. */
-const WINDOW = 20;
+/** Number of a host's latest outcomes that are considered. */
+const WINDOW_SIZE = 20;
 
-/** So many failures must be left that the jobs themselves do not explain. */
-const UNEXPLAINED = 2.5;
+/** A host is suspect only with at least this many failures that its jobs do not explain. */
+const MIN_UNEXPLAINED_FAILURES = 2.5;
 
-/** A host is suspect only when it fails this many times as often as its peers. */
+/** A host is suspect only if its failure rate is at least this multiple of that of its peers. */
 const PEER_FACTOR = 3;
 
-/** A host that succeeds more often than not is still of use. */
+/** A host below this failure rate succeeds more often than not, so it remains useful. */
 const MIN_FAILURE_RATE = 0.5;
 
-/** No more than this part of the hosts is quarantined: beyond it the cause is not the host. */
-const MAX_PART = 0.1;
+/** Maximum share of hosts in quarantine: if more fail, the cause is not the single host. */
+const MAX_QUARANTINED_SHARE = 0.1;
 
-/** With fewer hosts there are no peers to compare with. */
+/** With fewer hosts, there are too few peers for a comparison. */
 const MIN_HOSTS = 3;
 
-/** Probes start soon, for a fault that passes, and grow rarer, for one that stays. */
-const FIRST_PROBE_MS = 30_000;
+/** Delay of the first probe: short, for transient faults. It doubles for faults that last. */
+const FIRST_PROBE_DELAY_MS = 30_000;
 
-const LAST_PROBE_MS = 30 * 60_000;
+const MAX_PROBE_DELAY_MS = 30 * 60_000;
 
-/** A probe that has run for so long without failing has passed. */
-const PROBE_PASSED_MS = 120_000;
+/** A probe that has run this long without failing has passed. */
+const PROBE_PASSES_AFTER_MS = 120_000;
 
-/** An attempt that has run for so long elsewhere shows that its job does not fail by itself. */
+/** An attempt that has run this long on another host shows that its job can run. */
 const SURVIVED_MS = 20_000;
 
-/** The counts of an owner are halved at this size, so that old outcomes fade. */
-const FADE_AT = 200;
+/** Number of runs at which an owner's counts are halved, so that old outcomes lose weight. */
+const HALVE_COUNTS_AT = 200;
 
-/** Ends of so many tasks are remembered for finding repeated reports. */
-const MAX_COUNTED = 20_000;
+/** Number of tasks whose last counted attempt is remembered, to detect repeated reports. */
+const MAX_REMEMBERED_TASKS = 20_000;
 
 interface Outcome {
   readonly owner: string;
@@ -52,7 +52,7 @@
   readonly probe?: { readonly taskId: string; readonly attempt: number; readonly sinceMs: number };
 }
 
-/** The end of one attempt, as far as it says something about its host. */
+/** The end of one attempt, with the facts needed to assess its host. */
 export interface AttemptEnd {
   readonly hostId: string;
   readonly taskId: string;
@@ -62,9 +62,10 @@
 }
 
 /**
- * Finds workers that fail what they start, by comparing them with their peers: a failure counts
- * against a host only as far as the same job does better elsewhere. Without that a job that fails
- * everywhere would close one good host after the other.
+ * Quarantines hosts whose workers fail most attempts. Hosts are compared with their peers: a
+ * failure counts against a host only as far as the same job fails less often elsewhere. Without
+ * this comparison, a job that fails everywhere would put one healthy host after another in
+ * quarantine.
  */
 export class HostHealth {
   readonly #windows = new Map<string, Outcome[]>();
@@ -73,65 +74,66 @@
 
   readonly #quarantines = new Map<string, Quarantine>();
 
-  readonly #counted = new Map<string, number>();
+  readonly #lastCountedAttempt = new Map<string, number>();
 
-  /** Since when each attempt is known to run, for the jobs that failed somewhere. */
+  /** When each attempt was first seen running, for jobs with failures, by task id and attempt. */
   #runningSince = new Map<string, number>();
 
-  /** For the jobs that failed somewhere: the hosts on which attempts of theirs survived. */
+  /** The hosts on which attempts have run for `SURVIVED_MS`, for each job with failures. */
   readonly #survivors = new Map<string, string[]>();
 
-  /** The hosts that get no ordinary work. */
+  /** The hosts in quarantine, which get only probes. */
   get quarantined(): ReadonlyMap<string, { readonly probeAtMs: number }> {
     return this.#quarantines;
   }
 
-  /** Takes note of an end; reports repeat themselves, and each end counts once. */
+  /** Counts the end of an attempt. Reports may be repeated, but each end counts once. */
   observe(end: AttemptEnd, nowMs: number): void {
     if (end.outcome !== 'completed' && end.outcome !== 'failed') return;
-    if ((this.#counted.get(end.taskId) ?? 0) >= end.attempt) return;
-    this.#remember(end);
+    if ((this.#lastCountedAttempt.get(end.taskId) ?? 0) >= end.attempt) return;
+    this.#rememberEnd(end);
     const failed = end.outcome === 'failed';
-    this.#settleProbe(end, failed, nowMs);
+    this.#completeProbe(end, failed, nowMs);
     const window = this.#windows.get(end.hostId) ?? [];
-    this.#windows.set(end.hostId, [...window.slice(1 - WINDOW), { owner: end.owner, failed }]);
+    this.#windows.set(end.hostId, [...window.slice(1 - WINDOW_SIZE), { owner: end.owner, failed }]);
     const counts = this.#owners.get(end.owner) ?? { runs: 0, failures: 0 };
     counts.runs += 1;
     counts.failures += failed ? 1 : 0;
     this.#owners.set(end.owner, counts);
-    if (counts.runs >= FADE_AT) halve(counts);
+    if (counts.runs >= HALVE_COUNTS_AT) halve(counts);
   }
 
-  /** Quarantines hosts that are suspect now, and releases those whose probe has run long. */
+  /** Quarantines suspect hosts and releases those whose probe has run long enough. */
   review(fold: ControlFold, nowMs: number): void {
     for (const [hostId, { probe }] of [...this.#quarantines]) {
       const task = probe && fold.tasks.get(probe.taskId);
       const runs = task?.hostId === hostId && task.attempt === probe?.attempt;
       if (!fold.hosts.has(hostId)) this.#quarantines.delete(hostId);
-      else if (probe && !runs) this.#putBack(hostId);
-      else if (probe && nowMs - probe.sinceMs >= PROBE_PASSED_MS) this.#release(hostId);
+      else if (probe && !runs) this.#discardProbe(hostId);
+      else if (probe && nowMs - probe.sinceMs >= PROBE_PASSES_AFTER_MS) this.#release(hostId);
     }
-    this.#watchSurvivors(fold, nowMs);
-    const limit = fold.hosts.size < MIN_HOSTS ? 0 : Math.max(1, fold.hosts.size * MAX_PART);
+    this.#updateSurvivors(fold, nowMs);
+    const limit =
+      fold.hosts.size < MIN_HOSTS ? 0 : Math.max(1, fold.hosts.size * MAX_QUARANTINED_SHARE);
     for (const hostId of this.#windows.keys()) {
       if (!fold.hosts.has(hostId)) this.#windows.delete(hostId);
       else if (this.#quarantines.size + 1 > limit) return;
       else if (!this.#quarantines.has(hostId) && this.#isSuspect(hostId)) {
         this.#quarantines.set(hostId, {
-          probeAtMs: nowMs + FIRST_PROBE_MS,
-          delayMs: FIRST_PROBE_MS,
+          probeAtMs: nowMs + FIRST_PROBE_DELAY_MS,
+          delayMs: FIRST_PROBE_DELAY_MS,
         });
       }
     }
   }
 
-  /** Whether a quarantined host is owed a single task that shows whether it works again. */
+  /** Returns whether a probe is due: a single task that shows whether a quarantined host works. */
   isProbeDue(hostId: string, nowMs: number): boolean {
     const quarantine = this.#quarantines.get(hostId);
     return quarantine !== undefined && !quarantine.probe && nowMs >= quarantine.probeAtMs;
   }
 
-  /** Takes note that this attempt is the probe of its host. */
+  /** Records that an attempt is the probe of its host. */
   startProbe(hostId: string, taskId: string, attempt: number, nowMs: number): void {
     const quarantine = this.#quarantines.get(hostId);
     if (!quarantine) return;
@@ -140,10 +142,11 @@
   }
 
   /**
-   * Long jobs complete late, and until then nothing but what still runs tells a bad worker from a
-   * bad job. Only jobs with a failure in some window are looked at.
+   * Updates the hosts on which attempts survive. Long jobs complete late; until then, only attempts
+   * that still run elsewhere distinguish a faulty worker from a faulty job. Only jobs with a
+   * failure in some window are examined.
    */
-  #watchSurvivors(fold: ControlFold, nowMs: number): void {
+  #updateSurvivors(fold: ControlFold, nowMs: number): void {
     const since = new Map<string, number>();
     this.#survivors.clear();
     for (const owner of this.#failedOwners()) {
@@ -170,26 +173,27 @@
     return owners;
   }
 
-  #remember({ taskId, attempt }: AttemptEnd): void {
-    this.#counted.delete(taskId);
-    this.#counted.set(taskId, attempt);
-    const [oldest] = this.#counted.keys();
-    if (this.#counted.size > MAX_COUNTED && oldest !== undefined) this.#counted.delete(oldest);
+  #rememberEnd({ taskId, attempt }: AttemptEnd): void {
+    this.#lastCountedAttempt.delete(taskId);
+    this.#lastCountedAttempt.set(taskId, attempt);
+    const [oldest] = this.#lastCountedAttempt.keys();
+    if (this.#lastCountedAttempt.size > MAX_REMEMBERED_TASKS && oldest !== undefined)
+      this.#lastCountedAttempt.delete(oldest);
   }
 
-  #settleProbe({ hostId, taskId }: AttemptEnd, failed: boolean, nowMs: number): void {
+  #completeProbe({ hostId, taskId }: AttemptEnd, failed: boolean, nowMs: number): void {
     const quarantine = this.#quarantines.get(hostId);
     if (quarantine?.probe?.taskId !== taskId) return;
     if (!failed) {
       this.#release(hostId);
       return;
     }
-    const delayMs = Math.min(LAST_PROBE_MS, quarantine.delayMs * 2);
+    const delayMs = Math.min(MAX_PROBE_DELAY_MS, quarantine.delayMs * 2);
     this.#quarantines.set(hostId, { probeAtMs: nowMs + delayMs, delayMs });
   }
 
-  /** The probe was never bound or is gone without a verdict: another one is due. */
-  #putBack(hostId: string): void {
+  /** Discards a probe that was never bound or ended without a result; another one is then due. */
+  #discardProbe(hostId: string): void {
     const quarantine = this.#quarantines.get(hostId);
     if (!quarantine) return;
     const { probe: _probe, ...rest } = quarantine;
@@ -206,7 +210,7 @@
     const failures = window.filter((outcome) => outcome.failed).length;
     const rate = failures / window.length;
     if (rate < MIN_FAILURE_RATE || rate < PEER_FACTOR * this.#peerRate(hostId)) return false;
-    return this.#unexplained(hostId, window) >= UNEXPLAINED;
+    return this.#unexplainedFailures(hostId, window) >= MIN_UNEXPLAINED_FAILURES;
   }
 
   #peerRate(hostId: string): number {
@@ -221,15 +225,16 @@
     return runs === 0 ? 0 : failures / runs;
   }
 
-  /** A job that never succeeded elsewhere can account for one failure at most. */
-  #unexplained(hostId: string, window: readonly Outcome[]): number {
+  /** Sums the failures that jobs do not explain; a job without success elsewhere adds at most 1. */
+  #unexplainedFailures(hostId: string, window: readonly Outcome[]): number {
     let total = 0;
     for (const owner of new Set(window.map((outcome) => outcome.owner))) {
-      const here = window.filter((outcome) => outcome.owner === owner);
-      const failedHere = here.filter((outcome) => outcome.failed).length;
+      const outcomesHere = window.filter((outcome) => outcome.owner === owner);
+      const failedHere = outcomesHere.filter((outcome) => outcome.failed).length;
       const counts = this.#owners.get(owner) ?? { runs: 0, failures: 0 };
-      const survived = this.#survivors.get(owner)?.filter((host) => host !== hostId).length ?? 0;
-      const runs = Math.max(0, counts.runs - here.length) + survived;
+      const survivedElsewhere =
+        this.#survivors.get(owner)?.filter((host) => host !== hostId).length ?? 0;
+      const runs = Math.max(0, counts.runs - outcomesHere.length) + survivedElsewhere;
       const failures = Math.min(runs, Math.max(0, counts.failures - failedHere));
       const unexplained = failedHere * (1 - failures / Math.max(1, runs));
       total += runs > failures ? unexplained : Math.min(1, unexplained);
--- a/packages/decisions/src/policy/manifest-index.ts
+++ b/packages/decisions/src/policy/manifest-index.ts
@@ -1,6 +1,6 @@
 import type { Job, Manifest, Service, Team } from '@redwingcrank/protocol';
 
-/** Look-ups into a manifest, which has thousands of services and jobs. */
+/** Lookup tables by name for a manifest, which has thousands of services and jobs. */
 export interface ManifestIndex {
   readonly services: ReadonlyMap<string, Service>;
   readonly jobs: ReadonlyMap<string, Job>;
@@ -12,7 +12,7 @@
 const byName = <T extends { readonly name: string }>(items: readonly T[]): Map<string, T> =>
   new Map(items.map((item) => [item.name, item]));
 
-/** The index of a manifest, built once for each. */
+/** Returns the index of a manifest; it is built once for each manifest. */
 export function indexOf(manifest: Manifest): ManifestIndex {
   const known = indexes.get(manifest);
   if (known) return known;
--- a/packages/decisions/src/policy/scheduling-memory.ts
+++ b/packages/decisions/src/policy/scheduling-memory.ts
@@ -4,8 +4,8 @@
 import { HostHealth } from './host-health.js';
 
 /**
- * What a scheduler remembers from pass to pass and the control stream does not hold. Losing it
- * with the process costs time (ages start again), never correctness.
+ * State that a scheduler keeps between passes and that is not in the control stream. Losing it with
+ * the process costs time, because waiting times start again at 0, but never correctness.
  */
 export class SchedulingMemory {
   readonly health = new HostHealth();
@@ -14,7 +14,7 @@
 
   readonly #waitingSince = new Map<string, number>();
 
-  /** How long a job has waited without any of its tasks being placed, in milliseconds. */
+  /** Returns how long a job has waited without any of its tasks being placed, in milliseconds. */
   waitedMs(job: string, nowMs: number): number {
     const since = this.#waitingSince.get(job);
     if (since !== undefined) return Math.max(0, nowMs - since);
@@ -22,7 +22,7 @@
     return 0;
   }
 
-  /** Takes note of an end before its record is folded; ends that are seen again do no harm. */
+  /** Observes the end of an attempt before its record is folded; repeated calls have no effect. */
   ended(fold: ControlFold, { taskId, attempt, outcome }: EndedAction, nowMs: number): void {
     const task = fold.tasks.get(taskId);
     if (task?.attempt !== attempt) return;
@@ -30,17 +30,17 @@
     this.health.observe({ hostId, taskId, attempt, owner, outcome }, nowMs);
   }
 
-  /** Takes note that a task of the job was placed: its age starts again. */
+  /** Restarts the waiting time of a job when one of its tasks was placed. */
   restartWait(job: string, nowMs: number): void {
     this.#waitingSince.set(job, nowMs);
   }
 
-  /** Forgets a job that waits for nothing. */
+  /** Forgets the waiting time of a job that has no waiting tasks. */
   endWait(job: string): void {
     this.#waitingSince.delete(job);
   }
 
-  /** Forgets the jobs that are in no manifest any more. */
+  /** Forgets all jobs other than those in `jobs`, the jobs of the manifest. */
   retain(jobs: { has(job: string): boolean }): void {
     for (const job of this.#waitingSince.keys()) {
       if (!jobs.has(job)) this.#waitingSince.delete(job);
--- a/packages/decisions/src/test/colocation_test.ts
+++ b/packages/decisions/src/test/colocation_test.ts
@@ -7,11 +7,11 @@
 const LAG_MS = 12_000;
 const ROUND_MS = 4_000;
 
-/** What batch work of the kind `loud` costs the tail of `slow`; nothing else costs anything. */
+/** Effect of batch work of the kind `loud` on the latency ratio of `slow`; others have none. */
 const LOUD_COST = 4;
 
-/** One host with a replica and two jobs; only the test knows which one disturbs. */
-class Bench {
+/** One host with a replica and two jobs; only the test knows which job interferes. */
+class Scenario {
   readonly colocation = new Colocation();
 
   readonly world: Harness;
@@ -27,12 +27,12 @@
     }
   }
 
-  /** A report of the host as it is now, with its tail as a part of the target. */
-  report(tail?: number): WorkerReport {
+  /** Returns a report of the current state of the host; `latencyRatio` is latency over target. */
+  report(latencyRatio?: number): WorkerReport {
     const tasks = [...this.world.fold.tasks.values()].filter((task) => task.state === 'running');
     const used = tasks.map((task) => task.resources.cpu * this.colocation.shareOf(task));
     const loud = tasks.reduce((sum, t, i) => sum + (t.owner === 'loud-1' ? (used[i] ?? 0) : 0), 0);
-    const latencyMs = 100 * (tail ?? 0.5 + (LOUD_COST * loud) / 32);
+    const latencyMs = 100 * (latencyRatio ?? 0.5 + (LOUD_COST * loud) / 32);
     const usage = tasks.map(({ taskId, attempt, kind }, i) => ({
       taskId,
       attempt,
@@ -44,8 +44,8 @@
     return { hostId: 'w0', incarnation: 'i', heartbeat: 0, orphans: false, tasks: [], usage };
   }
 
-  /** Takes a report and returns the owners of the tasks that are to move. */
-  round(report = this.report()): string[] {
+  /** Observes a report and returns the owners of the tasks to move. */
+  review(report = this.report()): string[] {
     const { fold, manifest } = this.world;
     this.nowMs += ROUND_MS;
     this.colocation.observe(fold, manifest, report, this.nowMs);
@@ -60,56 +60,57 @@
   }
 }
 
-test('a tail that worsens is answered by a throttle, then by a move, and given back in calm', () => {
-  // Booking's tail is above its target. Throttling costs the batch work little and shows within a
-  // lag; only when no kind of batch work there is left to throttle is a task checkpointed and
-  // moved. The tail falls, and after a minute the share comes back step by step: no swing.
-  const bench = new Bench();
+test('latency above target throttles a job, then moves a task; low latency restores the share', () => {
+  // The service's tail latency exceeds its target. Throttling costs the batch work little and takes
+  // effect within one report lag. Only if no kind of batch work is left to throttle is a task
+  // checkpointed and moved. After the latency has been low for a minute, the share is restored
+  // step by step, so that it does not oscillate.
+  const scenario = new Scenario();
   const moves: string[] = [];
   const shares = new Set<number>();
   for (let i = 0; i < 60 && moves.length === 0; i += 1) {
-    moves.push(...bench.round(bench.report(1.3)));
-    shares.add(Math.min(bench.share('loud-1'), bench.share('quiet-1')));
+    moves.push(...scenario.review(scenario.report(1.3)));
+    shares.add(Math.min(scenario.share('loud-1'), scenario.share('quiet-1')));
   }
   assert.deepEqual([...shares].slice(0, 3), [1, 0.5, 0.25]);
   assert.equal(moves.length, 1);
-  const throttled = bench.share('loud-1') < 1 ? 'loud-1' : 'quiet-1';
-  for (let i = 0; i < 10; i += 1) assert.deepEqual(bench.round(bench.report(0.4)), []);
-  assert.equal(bench.share(throttled), 0.25);
-  for (let i = 0; i < 30; i += 1) bench.round(bench.report(0.4));
-  assert.equal(bench.share(throttled), 1);
+  const throttled = scenario.share('loud-1') < 1 ? 'loud-1' : 'quiet-1';
+  for (let i = 0; i < 10; i += 1) assert.deepEqual(scenario.review(scenario.report(0.4)), []);
+  assert.equal(scenario.share(throttled), 0.25);
+  for (let i = 0; i < 30; i += 1) scenario.review(scenario.report(0.4));
+  assert.equal(scenario.share(throttled), 1);
 });
 
-test('reports that repeat or come out of order count once', () => {
-  const bench = new Bench();
-  const bad = bench.report(1.3);
-  bench.round(bad);
+test('reports that are repeated or arrive out of order count once', () => {
+  const scenario = new Scenario();
+  const slowReport = scenario.report(1.3);
+  scenario.review(slowReport);
   for (let i = 0; i < 20; i += 1) {
-    bench.nowMs -= ROUND_MS;
-    bench.round(bad);
+    scenario.nowMs -= ROUND_MS;
+    scenario.review(slowReport);
   }
-  assert.equal(bench.share('loud-1'), 1);
-  assert.equal(bench.share('quiet-1'), 1);
+  assert.equal(scenario.share('loud-1'), 1);
+  assert.equal(scenario.share('quiet-1'), 1);
 });
 
-test('the pair that goes badly together is learned from late and lost reports, and kept apart', () => {
+test('a service and an interfering job are identified from noisy samples and kept apart', () => {
   const random = seededRandom(5);
   const cost = 2;
-  const bench = new Bench(1, 2);
+  const scenario = new Scenario(1, 2);
   for (let i = 0; i < 600; i += 1) {
     const [loud, quiet] = [random.int(0, 10) / 32, random.int(0, 10) / 32];
     const load = random.int(40, 100) / 100;
-    const tail = 0.5 + load * (0.1 + cost * loud) + random.int(-5, 5) / 100;
+    const latencyRatio = 0.5 + load * (0.1 + cost * loud) + random.int(-5, 5) / 100;
     const batchCpuShares = new Map([
       ['loud', loud],
       ['quiet', quiet],
     ]);
-    bench.colocation.model.learn({ service: 'slow', tail, load, batchCpuShares });
+    scenario.colocation.model.learn({ service: 'slow', latencyRatio, load, batchCpuShares });
   }
-  const { model } = bench.colocation;
+  const { model } = scenario.colocation;
   assert.ok(model.cost('slow', 'loud') > 1.5, `loud ${model.cost('slow', 'loud')}`);
   assert.ok(model.cost('slow', 'quiet') < 0.5, `quiet ${model.cost('slow', 'quiet')}`);
-  const { world } = bench;
+  const { world } = scenario;
   const jobs = [...world.manifest.jobs, job('loud-2', 2, 4), job('quiet-2', 1, 4)];
   world.manifest = { ...world.manifest, jobs };
   const policy = new ColocationFit(world.fold, model);
@@ -121,7 +122,7 @@
     world.unplaced.map(({ owner, count, reason }) => [owner, count, reason]),
     [['loud-2', 2, 'kept-apart']],
   );
-  // Urgent work does not wait for a better place.
+  // An urgent job does not wait for a better host.
   const urgent = job('loud-3', 1, 4, { urgent: true });
   world.manifest = { ...world.manifest, jobs: [...jobs, urgent] };
   const placed = world.pass({ ...world.input(), policy });
