--- a/packages/runtime/src/internal/leader-term.ts
+++ b/packages/runtime/src/internal/leader-term.ts
@@ -34,7 +34,7 @@
 import type { WorkChange, WorkTable } from './work-table.js';
 import { WorkerList } from './worker-list.js';
 
-/** One term of this node as the one that schedules: from its claim until it is replaced. */
+/** One term of this node as leader: from its claim until it resigns or is replaced. */
 export class LeaderTerm implements LinkListener {
   readonly #record: LeaderRecord;
 
@@ -76,11 +76,11 @@
 
   #isResigning = false;
 
-  /** Whether all jobs that were begun are known, and with them the workers that may run them. */
-  #isWhole = false;
+  /** Whether all started jobs are loaded, and with them the workers that may run them. */
+  #isFullyLoaded = false;
 
-  /** The newest record of this node itself that was written. */
-  #told = { number: 0, sentMs: -Infinity };
+  /** The newest leader record that this node has written. */
+  #lastRecord = { number: 0, sentMs: -Infinity };
 
   #end: () => void = () => {};
 
@@ -88,8 +88,8 @@
     this.#end = resolve;
   });
 
-  /** When this node last wrote; its claim counts. */
-  #writtenMs = steadyMs();
+  /** When this node last wrote; its claim counts as a write. */
+  #lastWriteMs = steadyMs();
 
   constructor(
     record: LeaderRecord,
@@ -139,12 +139,12 @@
   }
 
   /**
-   * Schedules until another node has taken over or `stop` is called. `whole` tells when the table
-   * holds all jobs that were begun. The term does not wait for it: while callers' jobs cannot be read
-   * no lease would be renewed, and all that runs would end.
+   * Schedules until another node has taken over or `stop` is called. `startedJobsLoaded` resolves
+   * when the table holds all started jobs. The term does not wait for it: while callers' jobs
+   * cannot be read, no lease would be renewed, and all running tasks would end.
    */
-  async run(whole: Promise<boolean> = Promise.resolve(true)): Promise<void> {
-    // A node that was frozen may read its own claim together with the one that has replaced it.
+  async run(startedJobsLoaded: Promise<boolean> = Promise.resolve(true)): Promise<void> {
+    // A node that was frozen may read its own claim together with the claim that has replaced it.
     const { leader } = this.#table;
     if (leader && leader.epoch > this.token) this.fenced('', 'replaced-before-start');
     const { generalEndMs, namedEndMs } = this.#table.formerLeases;
@@ -156,18 +156,20 @@
     });
     for (const job of this.#table.jobs.values()) loadJob(this.#scheduler, job);
     this.#scheduler.inheritLeases(namedEndMs);
-    this.#takeQueues();
+    this.#applyQueues();
     this.#scheduler.assume(this.#table.learned);
     this.#subscriptions.push(
       this.#table.changes$.subscribe((change) => this.#workChanged(change)),
-      this.#config.changes$.subscribe(() => this.#takeQueues()),
+      this.#config.changes$.subscribe(() => this.#applyQueues()),
     );
     this.#workerList.run().catch((err) => this.#failed('worker-list', err));
     this.#load
       .run(() => this.#loadView(), this.#stopping.signal)
       .catch((err) => this.#failed('term-load', err));
     this.#scheduler.setWhole(false);
-    whole.then((isWhole) => this.#jobsTold(isWhole)).catch((err) => this.#failed('jobs', err));
+    startedJobsLoaded
+      .then((isLoaded) => this.#startedJobsLoaded(isLoaded))
+      .catch((err) => this.#failed('jobs', err));
     while (!this.#stopping.signal.aborted) await this.#round();
     this.#close();
   }
@@ -179,8 +181,9 @@
   }
 
   /**
-   * Gives the role up, maybe to a successor, with the next write: nobody need wait for a silence.
-   * Until that is stored this node goes on: with a slow store, work would stand still.
+   * Resigns with the next write, optionally in favour of a successor, so that no node has to wait
+   * for the leader to fall silent. Until that write is stored this node keeps scheduling: with a
+   * slow store, all work would stall otherwise.
    */
   async resign(successor?: string): Promise<void> {
     this.#leases.successor = successor;
@@ -218,23 +221,23 @@
     this.#load.reported();
     const isFirst = !this.#scheduler.workers.get(worker)?.fenced;
     this.#scheduler.report(worker, report, askedMs, steadyMs());
-    // Most reports change nothing. With hundreds of workers a round for each of them would take a
-    // third of a core, and orders would lie for seconds on a node that has no more.
+    // Most reports change nothing. With hundreds of workers, a round for each report would take a
+    // third of a core, and orders would be queued for seconds on a node that has no more.
     if (isFirst || this.#scheduler.hasNews) this.#pacing.wake();
   }
 
-  answered(order: Order, outcome: OrderOutcome, settledMs: number): void {
-    this.#scheduler.answered(order, outcome, steadyMs(), settledMs);
+  answered(order: Order, outcome: OrderOutcome, sendCompletedMs: number): void {
+    this.#scheduler.answered(order, outcome, steadyMs(), sendCompletedMs);
     if (outcome !== 'done') this.#pacing.wake();
   }
 
-  workerEnded(worker: string, why: string): void {
-    this.#scheduler.workerGone(worker, steadyMs(), why);
+  workerEnded(worker: string, reason: string): void {
+    this.#scheduler.workerGone(worker, steadyMs(), reason);
     this.#links.close(worker);
     this.#pacing.wake();
   }
 
-  /** A worker has seen a higher token: another node schedules. */
+  /** Called when a worker has seen a higher token: another node is leader. */
   fenced(worker: string, reason: string): void {
     if (this.#stopping.signal.aborted) return;
     this.#log.emit('warn', 'term-fenced', { epoch: this.token, worker, reason });
@@ -242,21 +245,22 @@
   }
 
   async #round(): Promise<void> {
-    await this.#pacing.next(() => this.#waitMs());
+    await this.#pacing.next(() => this.#untilNextRoundMs());
     if (this.#stopping.signal.aborted) return;
     this.#links.closeAllBut(this.#scheduler.workers);
-    const beganMs = steadyMs();
-    // What could not be sent is not bound either: it would be stored in vain, and again after that.
-    const limits = this.views.windowMs(beganMs) > 0 ? this.#pacing.limits : NO_STARTS;
-    const decisions = this.#scheduler.decide(beganMs, Date.now(), limits);
-    this.#load.decided(steadyMs() - beganMs);
+    const startedMs = steadyMs();
+    // A start that cannot be sent now is not bound either: its binding would be stored in vain, and
+    // again later.
+    const limits = this.views.windowMs(startedMs) > 0 ? this.#pacing.limits : NO_STARTS;
+    const decisions = this.#scheduler.decide(startedMs, Date.now(), limits);
+    this.#load.decided(steadyMs() - startedMs);
     const writes: KeyedWrite[] = decisions.changed.map((job) => ({
       key: progressKey(job.spec.id),
       value: job.encode(),
     }));
     writes.push(...this.#housekeeping.progressDeletions());
     writes.push(...this.#housekeeping.learnedWrites(this.#scheduler.learned));
-    const isQuiet = steadyMs() - this.#writtenMs >= LEADER_WRITE_INTERVAL_MS;
+    const isQuiet = steadyMs() - this.#lastWriteMs >= LEADER_WRITE_INTERVAL_MS;
     const resigns = this.#isResigning;
     const { silent, isComplete } = silentWorkers(
       this.#scheduler.workers.values(),
@@ -264,13 +268,14 @@
       this.#workerList.isLoaded,
       steadyMs(),
     );
-    const isNews = this.#leases.updateSilent(silent, isComplete && this.#isWhole);
-    // Its own record goes with each append: read back, it tells that the append is stored. Deleted
-    // records of callers are no sign of this node's life, and others may be the same as before.
+    const isNews = this.#leases.updateSilent(silent, isComplete && this.#isFullyLoaded);
+    // This node's own record accompanies each append: once read back, it shows that the append is
+    // stored. Deletions in the callers' log do not show that this node is alive, and other records
+    // may be equal to earlier ones.
     const isDue =
-      this.#leases.isCompact || steadyMs() - this.#told.sentMs >= LEADER_WRITE_INTERVAL_MS;
-    const tells = resigns || isNews || isQuiet || (writes.length > 0 && isDue);
-    if (tells) {
+      this.#leases.isCompact || steadyMs() - this.#lastRecord.sentMs >= LEADER_WRITE_INTERVAL_MS;
+    const writesRecord = resigns || isNews || isQuiet || (writes.length > 0 && isDue);
+    if (writesRecord) {
       const standby = this.#watchers?.standby;
       const retryAfterMs = this.#scheduler.retryAfter(steadyMs());
       const rec = {
@@ -278,19 +283,19 @@
         ...(standby && { standby }),
         ...(Object.keys(retryAfterMs).length > 0 && { retryAfterMs }),
       };
-      this.#told = { number: rec.number, sentMs: steadyMs() };
+      this.#lastRecord = { number: rec.number, sentMs: steadyMs() };
       writes.push({ key: leaderKey(), value: encodeLeader(rec) });
     }
     const starts = this.#sendStops(decisions.orders);
-    this.#pacing.roundDone(beganMs);
+    this.#pacing.roundDone(startedMs);
     if (writes.length > 0) {
       const sentMs = steadyMs();
       if (!(await this.#write(writes))) {
         this.stop();
         return;
       }
-      this.#writtenMs = sentMs;
-      if (tells) this.#leases.recordStored();
+      this.#lastWriteMs = sentMs;
+      if (writesRecord) this.#leases.recordStored();
     }
     if (resigns) {
       this.#log.emit('info', 'resigned', { epoch: this.token });
@@ -306,9 +311,9 @@
   }
 
   /**
-   * Stores the records; stops that fall due meanwhile are sent. With a store that loses answers an
-   * append takes seconds, and a worker that has said that it leaves is gone by then, together with
-   * the lasting tasks that nobody stopped there.
+   * Stores the records and sends stops that become due meanwhile. With a store that loses answers,
+   * an append takes seconds. By then a worker that announced that it is leaving has ended, together
+   * with the long-running tasks that nobody stopped there.
    */
   async #write(writes: readonly KeyedWrite[]): Promise<boolean> {
     this.#load.appendSent();
@@ -322,7 +327,7 @@
     }
   }
 
-  /** Sends all orders but the starts, and returns those: they wait for what is stored first. */
+  /** Sends all orders except starts, and returns the starts: these are sent after the append. */
   #sendStops(orders: readonly Order[]): Order[] {
     this.#pacing.sendAtOnce(orders.filter(({ kind }) => kind !== 'start'));
     return orders.filter(({ kind }) => kind === 'start');
@@ -337,7 +342,7 @@
     };
   }
 
-  #waitMs(): number {
+  #untilNextRoundMs(): number {
     const dueMs = this.#scheduler.nextDueMs();
     if (dueMs === undefined) return MAX_ROUND_INTERVAL_MS;
     return Math.max(1, Math.min(MAX_ROUND_INTERVAL_MS, dueMs - Date.now()));
@@ -351,15 +356,15 @@
     }
     link.order(order).catch((err) => {
       this.#failed('order', err);
-      // Without any answer the task would be taken to be on its way to the worker for ever.
-      const settledMs = steadyMs() + withClockDrift(START_WINDOW_MS);
-      this.#scheduler.answered(order, 'unknown', steadyMs(), settledMs);
+      // Without an answer the task would be considered in transit to the worker forever.
+      const sendCompletedMs = steadyMs() + withClockDrift(START_WINDOW_MS);
+      this.#scheduler.answered(order, 'unknown', steadyMs(), sendCompletedMs);
     });
   }
 
-  #jobsTold(isWhole: boolean): void {
-    this.#isWhole = isWhole;
-    this.#scheduler.setWhole(isWhole);
+  #startedJobsLoaded(isLoaded: boolean): void {
+    this.#isFullyLoaded = isLoaded;
+    this.#scheduler.setWhole(isLoaded);
     this.#pacing.wake();
   }
 
@@ -367,8 +372,8 @@
     switch (change.kind) {
       case 'leader':
         if (change.leader.epoch > this.token) this.fenced('', 'newer-leader-record');
-        else this.#ownRecordRead(change.leader);
-        // Nothing to decide: as often as this node writes, a round would find nothing new.
+        else this.#ownRecordReadBack(change.leader);
+        // No round is needed: this node writes often, and its own records contain nothing new.
         return;
       case 'accepted':
         loadJob(this.#scheduler, this.#table.jobs.get(change.id)!);
@@ -386,16 +391,17 @@
   }
 
   /**
-   * What was read back is stored. Where the store carries appends out and its answers are lost,
-   * leases could else be given no more after some seconds, and all that runs would end.
+   * Processes an own record that was read back and is therefore stored. Where the store carries out
+   * appends but its answers are lost, no leases could be granted after some seconds otherwise, and
+   * all running tasks would end.
    */
-  #ownRecordRead({ epoch, number }: LeaderRecord): void {
-    if (epoch !== this.token || number !== this.#told.number) return;
-    this.#writer.readBack(this.#told.sentMs);
+  #ownRecordReadBack({ epoch, number }: LeaderRecord): void {
+    if (epoch !== this.token || number !== this.#lastRecord.number) return;
+    this.#writer.readBack(this.#lastRecord.sentMs);
     this.#leases.recordStored();
   }
 
-  #takeQueues(): void {
+  #applyQueues(): void {
     const config = this.#config.current;
     if (!config) return;
     this.#scheduler.setQueues(config.queues);
--- a/packages/runtime/src/internal/leadership.ts
+++ b/packages/runtime/src/internal/leadership.ts
@@ -32,55 +32,64 @@
 import { encodeLeader, encodeOffer, isLeaderKey, leaderKey, offerKey } from './work-records.js';
 import type { WorkTable } from './work-table.js';
 
-/** How often a node looks whether the scheduling role is free, in milliseconds. */
-const LOOK_MS = 100;
+/** Interval of checks whether leadership is vacant, in milliseconds. */
+const CHECK_INTERVAL_MS = 100;
 
 /**
- * A view this old says nothing about whether the leader is silent, in milliseconds: it may be the
- * store that is. While nothing is written, the pause between two reads and the wait of the second
- * make it 650 ms old. Less than `LEADER_SILENT_MS`, so that only a read that has found nothing new
- * since makes a leader silent.
+ * A view older than this does not show whether the leader is silent, in milliseconds, as the store
+ * may be silent instead. While nothing is written, the pause between two reads and the wait of the
+ * second one make the view 650 ms old. The bound is below `LEADER_SILENT_MS`, so a leader counts as
+ * silent only after a read has found nothing new since.
  */
 const MAX_VIEW_AGE_MS = 900;
 
 /**
- * The same at most where reads take longer. With a store that takes 150 ms for a call every view is
- * older than the other bound between two reads, and a dead leader was never replaced.
+ * Upper limit of the same bound where reads take longer. With a store that takes 150 ms per call,
+ * every view exceeds the other bound between two reads, and a dead leader would never be replaced.
  */
 const MAX_SLOW_VIEW_AGE_MS = 3_000;
 
 /**
- * Records of the leader that come no further apart than this are regular, in milliseconds: one of
- * its idle writes, the pause between two reads, and some tens of milliseconds for both calls.
+ * Records of the leader with gaps up to this are regular, in milliseconds: the interval of its idle
+ * writes, the pause between two reads, and some tens of milliseconds for both calls.
  */
 const REGULAR_GAP_MS = 600;
 
-/** Sequence numbers of claims are drawn below this, so that two claims of one epoch differ. */
+/**
+ * Upper bound of the random sequence numbers of claims; they are random so that two claims of one
+ * epoch differ.
+ */
 const MAX_FIRST_SEQUENCE = 1_000_000_000;
 
-/** By how much the next claim is higher where the epoch that the store knows cannot be read. */
-const EPOCH_LEAP = 16;
+/**
+ * Factor from a refused epoch to the next claim when the epoch that the store knows cannot be read.
+ */
+const EPOCH_JUMP_FACTOR = 16;
 
-/** A claim that the store has refused, as it knew this epoch or a higher one. */
+/** A claim that the store has refused because it knew this epoch or a higher one. */
 interface RefusedClaim {
   readonly epoch: number;
   /** On the steady clock. */
   readonly atMs: number;
 }
 
-/** A claim that was sent, until the work log shows who got the role. */
+/** A claim that was sent; it is kept until the work log shows which node became leader. */
 interface Claim extends StoredClaim {
   readonly record: LeaderRecord;
-  /** The workers' entries; with a slow store they are asked for with the claim. */
+  /**
+   * The log of the workers' entries; with a slow store its first page is requested together with
+   * the claim.
+   */
   readonly workerLog: KeyedLog;
 }
 
 /**
- * Decides when this node schedules. The store settles it: a claim is an append of a higher epoch.
- * Of two claims of one epoch it refuses the second, as their sequence numbers differ. From then on
- * it refuses the earlier leader's appends, and workers refuse that leader's orders once they have
- * seen the new epoch as a fencing token. The claim is not bound to the end of the log: while
- * callers' jobs are appended, a slow store would hardly ever find it where it was.
+ * Determines when this node is leader. The store decides: a claim is an append with a higher epoch.
+ * Of two claims of one epoch the store refuses the second, as their sequence numbers differ. After
+ * a claim it refuses appends of the previous leader, and workers refuse orders of that leader once
+ * they have seen the new epoch as a fencing token. The claim does not depend on the end of the log:
+ * while callers' jobs are appended, a slow store would hardly ever find the log at the expected
+ * end.
  */
 export class Leadership {
   readonly #port: PlatformPort;
@@ -99,7 +108,7 @@
 
   readonly #faults: FaultLog;
 
-  readonly #order: ClaimOrder;
+  readonly #claimOrder: ClaimOrder;
 
   readonly #handOver: HandOver;
 
@@ -107,32 +116,35 @@
 
   readonly #watchers: Watchers | undefined;
 
-  /** Ends the pause between two looks whether the role is free. */
-  readonly #lookPause = new Pause();
+  /** The pause between two checks whether leadership is vacant. */
+  readonly #checkPause = new Pause();
 
   readonly #stopping = new AbortController();
 
-  /** Claims that were sent, by their nonce: one without an answer may be stored seconds later. */
+  /** The claims that were sent, by nonce: a claim without an answer may be stored seconds later. */
   readonly #claims = new Map<string, Claim>();
 
-  readonly #pace = new ClaimBackoff();
+  readonly #claimBackoff = new ClaimBackoff();
 
   #refused: RefusedClaim | undefined;
 
-  /** The newest claim got no answer, and no leader has shown since. */
+  /** Whether the latest claim got no answer and no leader record was read since. */
   #isUnanswered = false;
 
   #term: LeaderTerm | undefined;
 
   readonly #startedMs = steadyMs();
 
-  /** When the view was last too old to tell whether the leader is silent, on the steady clock. */
-  #blindMs = -Infinity;
+  /** When the view was last too old to show whether the leader is silent, on the steady clock. */
+  #staleViewMs = -Infinity;
 
-  /** A node that was just replaced leaves the next claim to others for a while. */
-  #patienceMs = 0;
+  /**
+   * Additional silence of the leader before a claim, so that a node that was just replaced lets
+   * others claim first.
+   */
+  #extraSilentMs = 0;
 
-  /** No claim before this time, but where another leader shows until then. */
+  /** The earliest time of the next claim; a record of another leader resets it. */
   #nextClaimMs = -Infinity;
 
   constructor(
@@ -152,10 +164,10 @@
     this.#follower = work.workLog;
     this.#config = config;
     this.#faults = faults;
-    this.#order = new ClaimOrder(settings.cores);
-    this.#handOver = new HandOver(settings.node, this.#order);
+    this.#claimOrder = new ClaimOrder(settings.cores);
+    this.#handOver = new HandOver(settings.node, this.#claimOrder);
     if (port.peers) {
-      this.#watch = new LeaderWatch(port.peers, log, () => this.#lookPause.end());
+      this.#watch = new LeaderWatch(port.peers, log, () => this.#checkPause.end());
       this.#watchers = new Watchers(port.peers);
     }
     table.changes$.subscribe((change) => {
@@ -170,47 +182,48 @@
 
   async run(): Promise<void> {
     while (!this.#stopping.signal.aborted) {
-      await this.#lookPause.wait(LOOK_MS);
+      await this.#checkPause.wait(CHECK_INTERVAL_MS);
       if (this.#stopping.signal.aborted) return;
-      if (this.#isRoleFree()) await this.#claimRole();
+      if (this.#isLeadershipVacant()) await this.#claimLeadership();
       else this.#offerWhenDue();
     }
   }
 
   async stop(): Promise<void> {
     this.#stopping.abort();
-    this.#lookPause.end();
+    this.#checkPause.end();
     this.#watch?.stop();
     await this.#term?.resign();
   }
 
-  #isRoleFree(): boolean {
+  #isLeadershipVacant(): boolean {
     if (this.#stopping.signal.aborted || this.#term) return false;
     const nowMs = steadyMs();
     if (nowMs < this.#nextClaimMs) return false;
-    if (this.#isLeaderGone(nowMs)) return true;
+    if (this.#hasLeaderProcessEnded(nowMs)) return true;
     const { completeAsOfMs, expectedAgeMs } = this.#follower;
     const ageMs = nowMs - completeAsOfMs;
     if (ageMs > Math.max(MAX_VIEW_AGE_MS, Math.min(expectedAgeMs, MAX_SLOW_VIEW_AGE_MS))) {
-      this.#blindMs = nowMs;
+      this.#staleViewMs = nowMs;
       return false;
     }
     const { leader, leaderSeenMs } = this.#table;
     if (leader?.resigned)
       return nowMs >= this.#handOver.successorPriorityEndMs(leader, leaderSeenMs);
-    if (!leader || this.#claimsAtOnce(leader)) return true;
+    if (!leader || this.#mayClaimImmediately(leader)) return true;
     // After a silence of the store this node may read again before the leader can write again.
-    // Counted from its last record it would be taken for dead just then, having lost nothing.
-    const sinceMs = Math.max(leaderSeenMs, this.#startedMs, this.#blindMs);
-    // The view may not reach up to now. The last look before a claim does, and the store answers it.
-    return nowMs - sinceMs > this.#silentLimitMs() + this.#patienceMs;
+    // Counted from its last record, a healthy leader would be considered dead at that moment.
+    const sinceMs = Math.max(leaderSeenMs, this.#startedMs, this.#staleViewMs);
+    // The view may not be up to date. The read that confirms the vacancy before a claim is, and
+    // requires an answer of the store.
+    return nowMs - sinceMs > this.#silentLimitMs() + this.#extraSilentMs;
   }
 
   /**
-   * Whether the leader's process is known to be gone. The view may be old then: where another node
-   * has claimed since, the store refuses a claim of the same epoch.
+   * Whether the leader's process is known to have ended. The view may be old: if another node has
+   * claimed since, the store refuses a claim of the same epoch.
    */
-  #isLeaderGone(nowMs: number): boolean {
+  #hasLeaderProcessEnded(nowMs: number): boolean {
     const { leader } = this.#table;
     if (!leader || leader.resigned || this.#follower.isLost) return false;
     return this.#watch?.hasProcessEnded(leader, nowMs) ?? false;
@@ -218,26 +231,29 @@
 
   #silentLimitMs(): number {
     const { leader, leaderGapMs } = this.#table;
-    // Its first record waits behind the claims that were sent with its own. Taken for dead for that,
-    // it would be replaced by a node whose first record waits in the same way.
-    const queueMs = leader?.number === 0 && this.#pace.isQueueing ? STORE_QUEUE_MS : 0;
+    // The first record of a leader is queued behind the claims that were sent at the same time. If
+    // the leader were considered dead for that, the first record of its replacement would wait in
+    // the same way.
+    const queueMs = leader?.number === 0 && this.#claimBackoff.isQueueing ? STORE_QUEUE_MS : 0;
     return (leaderGapMs <= REGULAR_GAP_MS ? LEADER_SILENT_MS : SLOW_LEADER_SILENT_MS) + queueMs;
   }
 
   /**
-   * Whether this node need not wait. The leader has named it as its successor; or the leader on
-   * record is an earlier life of this node, so it is certainly over, and after all nodes have lost
-   * power at once every other one waits for it in vain. A small node waits with them all the same:
-   * larger ones may live, and take its earlier life for dead only later.
+   * Whether this node may claim without waiting: the leader has named it as its successor, or as
+   * its standby and its process has ended, or the leader on record is an earlier incarnation of
+   * this node. That one has certainly ended, and after a power failure of all nodes the others
+   * would wait for it in vain. A small node waits with the others anyway: larger nodes may be alive
+   * and consider its earlier incarnation dead only later.
    */
-  #claimsAtOnce(leader: LeaderRecord): boolean {
+  #mayClaimImmediately(leader: LeaderRecord): boolean {
     if (this.#handOver.isSuccessor(leader)) return true;
-    if (leader.standby === this.#settings.node && this.#isLeaderGone(steadyMs())) return true;
+    if (leader.standby === this.#settings.node && this.#hasLeaderProcessEnded(steadyMs()))
+      return true;
     const isOwn = leader.node === this.#settings.node && !this.#handOver.hasHandedOver(leader);
-    return isOwn && !this.#order.yieldsToLarger;
+    return isOwn && !this.#claimOrder.yieldsToLarger;
   }
 
-  /** Offers to take the role of a smaller leader, where it is time and the store is quick. */
+  /** Offers to take over from a smaller leader if an offer is due and the store is fast. */
   #offerWhenDue(): void {
     const nowMs = steadyMs();
     const offer = this.#handOver.due(nowMs);
@@ -272,20 +288,23 @@
     this.#term.resign(node);
   }
 
-  async #claimRole(): Promise<void> {
+  async #claimLeadership(): Promise<void> {
     const { leader } = this.#table;
-    const isAtOnce = leader !== undefined && this.#claimsAtOnce(leader);
+    const isImmediate = leader !== undefined && this.#mayClaimImmediately(leader);
     const { leaderGapMs } = this.#table;
-    const free = { leader, leaderGapMs, hasClaimed: this.#isUnanswered };
-    const standbyMs = this.#isLeaderGone(steadyMs()) ? this.#standbyMs(leader) : 0;
-    const waitMs = isAtOnce ? 0 : standbyMs + this.#order.waitMs(free);
-    // The last look at the store is a part of the wait: with a slow one both together take too long
-    // for the leases that the successor has to renew. Small nodes look last, to see others' claims.
-    const lookMs = this.#order.yieldsToLarger ? 0 : this.#follower.recentReadMs;
-    await delay(Math.max(0, waitMs - lookMs), this.#stopping.signal);
-    if (!this.#isRoleFree() || !(await this.#isSureOfSilence())) return;
+    const vacancy = { leader, leaderGapMs, hasClaimed: this.#isUnanswered };
+    const standbyPriorityMs = this.#hasLeaderProcessEnded(steadyMs())
+      ? this.#standbyPriorityMs(leader)
+      : 0;
+    const waitMs = isImmediate ? 0 : standbyPriorityMs + this.#claimOrder.waitMs(vacancy);
+    // The read that confirms the vacancy is part of the wait: with a slow store, both together take
+    // too long for the leases that the new leader has to renew. Small nodes read at the end of the
+    // wait, to see the claims of others.
+    const finalReadMs = this.#claimOrder.yieldsToLarger ? 0 : this.#follower.recentReadMs;
+    await delay(Math.max(0, waitMs - finalReadMs), this.#stopping.signal);
+    if (!this.#isLeadershipVacant() || !(await this.#isVacancyConfirmed())) return;
     const before = this.#table.leader;
-    if (this.#isLeaderGone(steadyMs())) this.#watch?.claimed(steadyMs());
+    if (this.#hasLeaderProcessEnded(steadyMs())) this.#watch?.claimed(steadyMs());
     const record = this.#newRecord(before);
     this.#table.formerLeases.claiming(record.nonce);
     const sequence = randomInt(MAX_FIRST_SEQUENCE);
@@ -294,11 +313,11 @@
     this.#claims.set(record.nonce, { record, epoch: record.epoch, sequence, sentMs, workerLog });
     const write = { key: leaderKey(), value: encodeLeader(record) };
     const stamp = { writer: LEADER_WRITER, epoch: record.epoch, sequence };
-    // A claim that was sent into a silence of the store is not sent again when the store is back:
-    // it would replace a leader that has lost nothing.
+    // A claim that was sent while the store was silent is not repeated when the store recovers: it
+    // would replace a healthy leader.
     const appending = this.#port.workLog.append([write], { stamp, isOnce: true });
-    // A read that waits at the store sees the claim as it is stored; one after the answer comes later
-    // by as long as a call takes.
+    // A read that waits at the store returns the claim as soon as it is stored; a read after the
+    // answer would return it one call later.
     this.#follower.endPause();
     const { outcome, reason } = await appending;
     const { epoch } = record;
@@ -307,8 +326,8 @@
       this.#refused = { epoch, atMs: steadyMs() };
     }
     this.#isUnanswered = outcome === 'unknown';
-    this.#nextClaimMs = steadyMs() + this.#pace.pauseMs(outcome, sentMs);
-    // What became of an unanswered claim shows in the log, as does that of every other.
+    this.#nextClaimMs = steadyMs() + this.#claimBackoff.pauseMs(outcome, sentMs);
+    // The log shows the outcome of every claim, including unanswered ones.
     this.#follower.endPause();
   }
 
@@ -322,20 +341,23 @@
       formerMs: this.#formerMs(before),
       silent: {},
       number: 0,
-      cores: this.#order.cores,
-      largestCores: this.#order.largestCores,
+      cores: this.#claimOrder.cores,
+      largestCores: this.#claimOrder.largestCores,
       ...this.#ownProcess(),
     };
   }
 
-  /** How long other nodes leave the claim to the one that the leader has named for it. */
-  #standbyMs(leader: LeaderRecord | undefined): number {
+  /** Returns how long other nodes leave the claim to the standby that the leader has named. */
+  #standbyPriorityMs(leader: LeaderRecord | undefined): number {
     return leader?.standby === undefined
       ? 0
       : STANDBY_PRIORITY_MS + 2 * this.#follower.recentReadMs;
   }
 
-  /** With a quick store the entries are not worth a call more for each claim that is refused. */
+  /**
+   * Returns the log of the workers' entries, prefetched if the store is slow. With a fast store,
+   * prefetching is not worth another call for each refused claim.
+   */
   #workerLog(): KeyedLog {
     const { workerLog } = this.#port;
     return this.#follower.recentReadMs > FAST_READ_MS ? new PrefetchedLog(workerLog) : workerLog;
@@ -347,32 +369,34 @@
   }
 
   /**
-   * One more than the leader's. Where the store refuses that, the record of a later leader is about
-   * to be read; but if a read since has found none, that record cannot be read, and the store would
-   * refuse the same epoch for ever. A much higher one passes the store's after a claim or two.
+   * Returns the epoch of the leader plus one. If the store has refused that epoch, the record of a
+   * later leader is usually about to be read. If a read since then has found none, that record
+   * cannot be read, and the store would refuse the same epoch forever; a much higher epoch exceeds
+   * the one of the store after a claim or two.
    */
   #nextEpoch(leader: LeaderRecord | undefined): number {
     const next = (leader?.epoch ?? 0) + 1;
     const refused = this.#refused;
     if (!refused || refused.epoch < next || this.#follower.completeAsOfMs < refused.atMs)
       return next;
-    return refused.epoch * EPOCH_LEAP;
+    return refused.epoch * EPOCH_JUMP_FACTOR;
   }
 
   /**
-   * Asks the store once more whether the leader has written nothing. The view may be fresh from a
-   * read that was answered as the store fell silent: then it is the store that the leader has lost,
-   * and a claim, stored when it is back, would replace a node that goes on working. A store that
-   * answers now would have taken the leader's records. A claim of another node shows as well.
+   * Asks the store again whether the leader has written nothing. The view may be up to date from a
+   * read that was answered just before the store fell silent. In that case the leader has lost only
+   * the store, and a claim that is stored when the store recovers would replace a healthy leader. A
+   * store that answers now would have accepted the leader's records. The read shows claims of other
+   * nodes as well.
    */
-  async #isSureOfSilence(): Promise<boolean> {
+  async #isVacancyConfirmed(): Promise<boolean> {
     const { leader } = this.#table;
     const { next } = this.#follower;
-    const isOver = leader && (leader.resigned || this.#claimsAtOnce(leader));
-    if ((isOver && !this.#order.yieldsToLarger) || next === undefined) return true;
+    const hasTermEnded = leader && (leader.resigned || this.#mayClaimImmediately(leader));
+    if ((hasTermEnded && !this.#claimOrder.yieldsToLarger) || next === undefined) return true;
     try {
       const { records } = await this.#port.workLog.read(next, 0);
-      return this.#isRoleFree() && !records.some(({ key }) => isLeaderKey(key));
+      return this.#isLeadershipVacant() && !records.some(({ key }) => isLeaderKey(key));
     } catch (err) {
       this.#log.emit('info', 'claim-put-off', reasonOf(err));
       return false;
@@ -380,21 +404,21 @@
   }
 
   /**
-   * How long leases may last after the claim is stored, seconds after it was sent maybe: as long as
-   * if the present scheduling node had renewed them until then. One whose record cannot be read may
-   * have given the longest.
+   * Returns how long leases may last after the claim is stored, which may be seconds after it was
+   * sent: as long as if the current leader had renewed them until then. A leader whose record
+   * cannot be read may have granted the longest leases.
    */
-  #formerMs(present: LeaderRecord | undefined): number {
-    const unreadMs = this.#refused ? DEFAULT_LEASE_MS : 0;
-    const leasesMs = present?.leasesMs ?? unreadMs;
-    const presentMs = withClockDrift(Math.max(leasesMs, CONFIRMED_LEASE_MS));
-    return Math.max(presentMs, this.#table.formerLeases.allEndMs - steadyMs());
+  #formerMs(current: LeaderRecord | undefined): number {
+    const unknownTermMs = this.#refused ? DEFAULT_LEASE_MS : 0;
+    const leasesMs = current?.leasesMs ?? unknownTermMs;
+    const currentMs = withClockDrift(Math.max(leasesMs, CONFIRMED_LEASE_MS));
+    return Math.max(currentMs, this.#table.formerLeases.allEndMs - steadyMs());
   }
 
   #leaderSeen(leader: LeaderRecord): void {
     this.#nextClaimMs = -Infinity;
     this.#isUnanswered = false;
-    this.#order.leaderSeen(leader);
+    this.#claimOrder.leaderSeen(leader);
     this.#watch?.leaderSeen(leader);
     if (this.#handOver.leaderSeen(leader, steadyMs())) {
       this.#log.emit('warn', 'hand-over-missed', { epoch: leader.epoch, leader: leader.node });
@@ -414,7 +438,7 @@
     });
     this.#term = term;
     this.#work.setLeading(true);
-    // The term starts after this record has been told to everyone, with the table up to it.
+    // The term starts after all subscribers have received this record, with the table up to it.
     setImmediate(() => this.#runTerm(term));
   }
 
@@ -428,7 +452,7 @@
     }
     this.#term = undefined;
     this.#work.setLeading(false);
-    this.#patienceMs = CLAIM_SPREAD_MS;
+    this.#extraSilentMs = CLAIM_SPREAD_MS;
   }
 }
 
--- a/packages/runtime/src/internal/link-starter.ts
+++ b/packages/runtime/src/internal/link-starter.ts
@@ -3,28 +3,29 @@
 import type { WorkerLink } from './worker-link.js';
 
 /**
- * So many links begin at once, then comes a pause, in milliseconds. Each costs a connection and
- * about two milliseconds of processor time. A node that takes over begins hundreds: all at once they
- * keep a node with a third of a core from writing its own record for over a second, and it is taken
- * for dead and replaced, and so is the next.
+ * Links that start at once before a pause. Each link costs a connection and about two milliseconds
+ * of processor time, and a node that takes over starts hundreds. All at once they would keep a node
+ * with a third of a core from writing its own record for over a second, so it would be considered
+ * dead and replaced, and so would the next node.
  */
-const LINKS_AT_ONCE = 16;
+const LINKS_PER_BATCH = 16;
 
-const PAUSE_MS = 20;
+const BATCH_PAUSE_MS = 20;
 
-/** Which links begin first. */
+/** The priority of a link when links are started. */
 type Urgency = 'lasting' | 'busy' | 'idle';
 
-/** What of a worker says how urgent its link is. */
-type Occupied = Pick<WorkerState, 'runs'>;
+/** The part of a worker's state that determines the urgency of its link. */
+type WorkerRuns = Pick<WorkerState, 'runs'>;
 
 /**
- * Begins links to workers a few at a time, so that the node has time for its other work. Workers on
- * which lasting tasks run come first, then those on which anything does: a node that takes over has
- * some seconds until the leases there end, and a small one does not reach all workers by then.
+ * Starts links to workers in small batches so that the node has time for its other work. Workers
+ * with long-running tasks come first, then workers with any running tasks: a node that takes over
+ * has some seconds until the leases there expire, and a small node does not contact all workers by
+ * then.
  */
 export class LinkStarter {
-  readonly #failed: (err: unknown) => void;
+  readonly #onError: (err: unknown) => void;
 
   readonly #signal: AbortSignal;
 
@@ -32,42 +33,43 @@
 
   #isDraining = false;
 
-  /** `failed` is told what ends a link's conversation other than its stop. */
-  constructor(signal: AbortSignal, failed: (err: unknown) => void) {
+  /** `onError` is called with any error that ends a link. */
+  constructor(signal: AbortSignal, onError: (err: unknown) => void) {
     this.#signal = signal;
-    this.#failed = failed;
+    this.#onError = onError;
   }
 
-  /** Begins a link to the worker of this state when its turn comes. */
-  start(link: WorkerLink, worker: Occupied): void {
+  /** Starts a link to the worker of this state when its batch is due. */
+  start(link: WorkerLink, worker: WorkerRuns): void {
     this.#waiting[urgencyOf(worker)].push(link);
     if (!this.#isDraining) this.#drain();
   }
 
   async #drain(): Promise<void> {
     this.#isDraining = true;
-    // The first links come one by one from a list that is being read: the whole page counts.
+    // The first links are added one by one while a page of the worker list is processed; wait for
+    // the whole page.
     await delay(0, this.#signal);
     while (!this.#signal.aborted) {
-      const next = this.#next();
-      if (next.length === 0) break;
-      for (const link of next) link.run().catch(this.#failed);
-      await delay(PAUSE_MS, this.#signal);
+      const batch = this.#nextBatch();
+      if (batch.length === 0) break;
+      for (const link of batch) link.run().catch(this.#onError);
+      await delay(BATCH_PAUSE_MS, this.#signal);
     }
     this.#isDraining = false;
   }
 
-  #next(): WorkerLink[] {
+  #nextBatch(): WorkerLink[] {
     const { lasting, busy, idle } = this.#waiting;
-    const next: WorkerLink[] = [];
+    const batch: WorkerLink[] = [];
     for (const links of [lasting, busy, idle]) {
-      next.push(...links.splice(0, LINKS_AT_ONCE - next.length));
+      batch.push(...links.splice(0, LINKS_PER_BATCH - batch.length));
     }
-    return next;
+    return batch;
   }
 }
 
-function urgencyOf({ runs }: Occupied): Urgency {
+function urgencyOf({ runs }: WorkerRuns): Urgency {
   if (runs.size === 0) return 'idle';
   return [...runs.values()].some(({ spec }) => spec.lasting) ? 'lasting' : 'busy';
 }
--- a/packages/runtime/src/internal/node-metrics.ts
+++ b/packages/runtime/src/internal/node-metrics.ts
@@ -2,22 +2,28 @@
 import type { LogFields, NodeLog } from '../node-log.js';
 import type { FaultCount } from './fault-log.js';
 
-/** Bounds in seconds: an order usually takes a few milliseconds, an answer that is late half a second. */
+/**
+ * Bucket bounds in seconds: an order usually takes a few milliseconds, and a late answer half a
+ * second.
+ */
 const BUCKETS = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 2.5];
 
-/** Bounds in seconds: a task with room waits for a round, one without for others to end. */
+/**
+ * Bucket bounds in seconds: with free capacity a task waits for a round, without it for other tasks
+ * to end.
+ */
 const WAIT_BUCKETS = [0.05, 0.1, 0.25, 0.5, 1, 2, 5, 10, 30];
 
 interface LoadGauge {
   readonly name: string;
   readonly help: string;
-  /** The field's value is divided by this; milliseconds are told as seconds. */
-  readonly per?: number;
+  /** The field's value is divided by this; milliseconds become seconds by default. */
+  readonly divisor?: number;
 }
 
 const MS_PER_S = 1_000;
 
-/** By field of the line in which a scheduling node tells its load: the gauge and what it says. */
+/** The gauge for each field of the log line that reports the load of a leader. */
 const LOAD_GAUGES: Readonly<Record<string, LoadGauge>> = {
   cpuMs: {
     name: 'redwingcrank_scheduler_cpu_seconds',
@@ -58,7 +64,7 @@
   idleJobs: {
     name: 'redwingcrank_scheduler_idle_jobs',
     help: 'Jobs with tasks to start and none at a worker.',
-    per: 1,
+    divisor: 1,
   },
   longestIdleMs: {
     name: 'redwingcrank_scheduler_longest_idle_seconds',
@@ -67,29 +73,29 @@
   reservedPercent: {
     name: 'redwingcrank_scheduler_reserved_ratio',
     help: "The part of the workers' processors that tasks have reserved.",
-    per: 100,
+    divisor: 100,
   },
   bestEffortPercent: {
     name: 'redwingcrank_scheduler_best_effort_ratio',
     help: "The part of the workers' processors that best-effort tasks claim.",
-    per: 100,
+    divisor: 100,
   },
 };
 
-/** What is read from the node when the metrics are asked for. */
+/** The state of the node that is read when the metrics are requested. */
 export interface NodeState {
   readonly isLeading: boolean;
   /** How old the view of the work log is, in milliseconds. */
   readonly viewAgeMs: number;
   /** Jobs by state. */
   readonly jobs: ReadonlyMap<string, number>;
-  /** Records of the store that could not be used since the start, by log and reason. */
+  /** Unusable records of the store since the start, by log and reason. */
   readonly faults: Iterable<FaultCount>;
 }
 
 /**
- * Counters and histograms of a node, taken from the events that it logs: what is counted can so be
- * found in the log, and the other way round.
+ * Counters and histograms of a node, derived from the events that it logs: everything counted can
+ * be found in the log, and vice versa.
  */
 export class NodeMetrics {
   readonly #registry = new Registry();
@@ -156,7 +162,7 @@
     log.observe((event, fields) => this.#count(event, fields));
   }
 
-  /** The text that Prometheus reads. */
+  /** Returns the metrics in the text format of Prometheus. */
   text(): Promise<string> {
     return this.#registry.metrics();
   }
@@ -166,33 +172,33 @@
     this.#events.inc({ event, outcome });
     const seconds = Number(fields.tookMs) / 1_000;
     if (event === 'order') this.#orders.observe({ kind: String(fields.kind), outcome }, seconds);
-    if (event === 'bound') this.#bound(fields);
-    if (event === 'task-stop') this.#stopped(fields);
-    if (event === 'term-load') this.#loaded(fields);
-    if (event === 'term-end') this.#loaded({});
+    if (event === 'bound') this.#observeBound(fields);
+    if (event === 'task-stop') this.#observeStop(fields);
+    if (event === 'term-load') this.#setLoad(fields);
+    if (event === 'term-end') this.#setLoad({});
     if (event === 'submit') this.#submits.observe({ outcome }, seconds);
   }
 
-  #bound({ waitMs, keptBy }: LogFields): void {
+  #observeBound({ waitMs, keptBy }: LogFields): void {
     this.#waits.observe({ kept_by: String(keptBy) }, Number(waitMs) / 1_000);
   }
 
-  #stopped({ reason, lostCpuMs }: LogFields): void {
+  #observeStop({ reason, lostCpuMs }: LogFields): void {
     this.#stops.inc({ reason: String(reason) });
     this.#lostCpu.inc({ reason: String(reason) }, Number(lostCpuMs) / 1_000);
   }
 
-  /** A node that does not schedule any more shows no load. */
-  #loaded(fields: LogFields): void {
+  /** Sets the load gauges. A node that is no longer leader reports no load. */
+  #setLoad(fields: LogFields): void {
     for (const [field, gauge] of this.#load) {
-      gauge.set(Number(fields[field] ?? 0) / (LOAD_GAUGES[field]!.per ?? MS_PER_S));
+      gauge.set(Number(fields[field] ?? 0) / (LOAD_GAUGES[field]!.divisor ?? MS_PER_S));
     }
   }
 }
 
 function addGauges(registers: Registry[], log: NodeLog, state: () => NodeState): void {
   const gauge = (name: string, help: string, read: () => number): void => {
-    // The constructor registers the gauge; nobody else needs it.
+    // The constructor registers the gauge; no other reference is needed.
 
     new Gauge({
       name,
--- a/packages/runtime/src/internal/order-sender.ts
+++ b/packages/runtime/src/internal/order-sender.ts
@@ -2,53 +2,56 @@
 import { delay, steadyMs } from './delay.js';
 import { MAX_UNSENT_STARTS_MS } from './timing.js';
 
-/** So many orders are sent at once, as many as links are begun. */
-const ORDERS_AT_ONCE = 16;
+/** Orders that are sent at once; equal to the number of links that are started at once. */
+const ORDERS_PER_BATCH = 16;
 
-/** After some orders the node leaves this many times what they took: to answers, renewals and records. */
-const REST = 2;
+/**
+ * After a batch the node leaves this many times the duration of the batch for answers, renewals and
+ * records.
+ */
+const REST_FACTOR = 2;
 
-/** What an order is taken to cost before one was sent, the rest after it included, in milliseconds. */
-const FIRST_GUESS_MS = 4;
+/** Assumed cost of an order before one was sent, in milliseconds, including the pause after it. */
+const INITIAL_COST_MS = 4;
 
-/** How much the newest orders count in what one is taken to cost. */
-const NEWEST = 0.2;
+/** Weight of the newest batch in the moving average of the cost of an order. */
+const NEWEST_WEIGHT = 0.2;
 
 /**
- * Sends orders a few at a time. All those of a round at once kept a slow node from its renewals and
- * its own record for as long as they took; the node was taken for dead, and starts without an answer
- * were sent again, three times the work. The rest between them is enough, as renewals and answers
- * that are due come first then.
+ * Sends orders in small batches. Sending all orders of a round at once kept a slow node from its
+ * renewals and its own record for the whole time, so that it was considered dead; starts without an
+ * answer were sent again, which made three times the work. The pause between batches is sufficient,
+ * as due renewals and answers are processed first in it.
  */
 export class OrderSender {
   readonly #signal: AbortSignal;
 
   readonly #send: (order: Order) => void;
 
-  readonly #rest: number;
+  readonly #restFactor: number;
 
   #waiting: Order[] = [];
 
   #isBusy = false;
 
-  #eachMs = FIRST_GUESS_MS;
+  #costMs = INITIAL_COST_MS;
 
-  #emptied: () => void = () => {};
+  #onEmpty: () => void = () => {};
 
-  /** `rest`: how many times what some took the node has before the next ones. */
-  constructor(signal: AbortSignal, send: (order: Order) => void, rest = REST) {
+  /** `restFactor`: the pause between batches as a multiple of the duration of a batch. */
+  constructor(signal: AbortSignal, send: (order: Order) => void, restFactor = REST_FACTOR) {
     this.#signal = signal;
     this.#send = send;
-    this.#rest = rest;
+    this.#restFactor = restFactor;
   }
 
-  /** How many more orders can be taken on so that none waits for too long. */
+  /** The number of further orders that can be queued without any of them waiting for too long. */
   get capacity(): number {
-    return Math.max(0, this.#most - this.#waiting.length);
+    return Math.max(0, this.#maxWaiting - this.#waiting.length);
   }
 
-  get #most(): number {
-    return Math.max(ORDERS_AT_ONCE, Math.floor(MAX_UNSENT_STARTS_MS / this.#eachMs));
+  get #maxWaiting(): number {
+    return Math.max(ORDERS_PER_BATCH, Math.floor(MAX_UNSENT_STARTS_MS / this.#costMs));
   }
 
   send(orders: readonly Order[]): void {
@@ -57,29 +60,30 @@
   }
 
   /**
-   * Calls back when a round is worth its time again: at once where half the room is free, else when
-   * no order waits any more.
+   * Calls back when another round is worthwhile: immediately if half of the capacity is free,
+   * otherwise when no order is queued.
    */
-  whenCapacity(then: () => void): void {
-    if (this.capacity >= this.#most / 2) then();
-    else this.#emptied = then;
+  whenCapacity(callback: () => void): void {
+    if (this.capacity >= this.#maxWaiting / 2) callback();
+    else this.#onEmpty = callback;
   }
 
   async #drain(): Promise<void> {
     this.#isBusy = true;
     while (this.#waiting.length > 0 && !this.#signal.aborted) {
-      const beganMs = steadyMs();
-      const orders = this.#waiting.splice(0, ORDERS_AT_ONCE);
+      const startedMs = steadyMs();
+      const orders = this.#waiting.splice(0, ORDERS_PER_BATCH);
       for (const order of orders) this.#send(order);
-      const tookMs = steadyMs() - beganMs;
-      if (this.#waiting.length > 0) await delay(this.#rest * tookMs, this.#signal);
-      // A busy node is back later than it wanted.
-      const eachMs = Math.max((1 + this.#rest) * tookMs, steadyMs() - beganMs) / orders.length;
-      this.#eachMs += NEWEST * (eachMs - this.#eachMs);
+      const tookMs = steadyMs() - startedMs;
+      if (this.#waiting.length > 0) await delay(this.#restFactor * tookMs, this.#signal);
+      // On a busy node the delay takes longer than requested.
+      const costMs =
+        Math.max((1 + this.#restFactor) * tookMs, steadyMs() - startedMs) / orders.length;
+      this.#costMs += NEWEST_WEIGHT * (costMs - this.#costMs);
     }
     this.#isBusy = false;
-    const then = this.#emptied;
-    this.#emptied = () => {};
-    then();
+    const onEmpty = this.#onEmpty;
+    this.#onEmpty = () => {};
+    onEmpty();
   }
 }
--- a/packages/runtime/src/internal/parse-object.ts
+++ b/packages/runtime/src/internal/parse-object.ts
@@ -1,7 +1,7 @@
-/** The fields of a type, none of which has been looked at. */
+/** The fields of a type before any validation. */
 export type Unchecked<T> = { readonly [Name in keyof T]?: unknown };
 
-/** Undefined for a text that is no JSON object. */
+/** Parses a JSON object; returns undefined for any other text. */
 export function parseObject<T>(text: string): Unchecked<T> | undefined {
   try {
     const value: unknown = JSON.parse(text);
--- a/packages/runtime/src/internal/prefetched-log.ts
+++ b/packages/runtime/src/internal/prefetched-log.ts
@@ -8,12 +8,12 @@
 import { KeyedLog } from '../keyed-log.js';
 
 /**
- * A log of which the first page is asked for before it is needed. A new scheduling node needs the
- * workers' entries as soon as its claim is stored; asked for only then, a store that takes 0.6 s for
- * a call keeps it from the workers for as long, while their leases run out.
+ * A log whose first page is requested before it is needed. A new leader needs the workers' entries
+ * as soon as its claim is stored. If it requested them only then, a store that takes 0.6 s per call
+ * would delay its contact with the workers by that time while their leases run out.
  *
- * The page may be as old as the claim. Whoever loads a log reads on from there before it counts its
- * view as complete.
+ * The page may be as old as the claim. A reader that loads a log continues to read from there
+ * before its view counts as complete.
  */
 export class PrefetchedLog extends KeyedLog {
   readonly #source: KeyedLog;
@@ -24,7 +24,7 @@
     super();
     this.#source = source;
     this.#firstPage = source.newest('');
-    // A failure is the reader's to see, if there is one.
+    // A failure is reported to the reader, if there is one.
     this.#firstPage.catch(() => {});
   }
 
--- a/packages/runtime/src/internal/round-pacing.ts
+++ b/packages/runtime/src/internal/round-pacing.ts
@@ -4,13 +4,17 @@
 import { OrderSender } from './order-sender.js';
 import { INPUT_BATCH_MS, MAX_ROUND_PAUSE_MS, PLACEMENT_BUDGET_MS } from './timing.js';
 
-/** After stops the node leaves as much time as they took: they are more urgent than starts. */
-const URGENT_REST = 1;
+/**
+ * After a batch of urgent orders the node pauses for as long as the batch took; they are more
+ * urgent than starts.
+ */
+const URGENT_REST_FACTOR = 1;
 
 /**
- * Divides the time of a scheduling node between its rounds and everything else. A round can take
- * seconds where hundreds of workers and thousands of jobs wait for a node with a third of a core;
- * its leases ended meanwhile, and the next node, that took it for dead, had more to do.
+ * Divides the time of the leader between its rounds and its other work. A round can take seconds
+ * where hundreds of workers and thousands of jobs wait for a node with a third of a core. Without
+ * the pacing its leases expired meanwhile, and the next node, which considered it dead, had even
+ * more to do.
  */
 export class RoundPacing {
   readonly #signal: AbortSignal;
@@ -19,15 +23,15 @@
 
   readonly #urgent: OrderSender;
 
-  /** Stops that were not sent yet. */
+  /** Keys of stops that are queued. */
   readonly #unsent = new Set<string>();
 
-  readonly #idle = new Pause();
+  readonly #idlePause = new Pause();
 
-  #isWoken = false;
+  #isRoundRequested = false;
 
-  /** What the newest round took, the time for its append left out. */
-  #tookMs = 0;
+  /** The duration of the latest round without its append. */
+  #lastRoundMs = 0;
 
   #endedMs = -Infinity;
 
@@ -38,42 +42,43 @@
       this.#unsent.delete(keyOf(order));
       send(order);
     };
-    this.#urgent = new OrderSender(signal, sendUrgent, URGENT_REST);
+    this.#urgent = new OrderSender(signal, sendUrgent, URGENT_REST_FACTOR);
   }
 
-  /** Waits until the next round is asked for or due, and until it may begin. */
+  /** Waits until the next round is requested or due, and until it may start. */
   async next(dueInMs: () => number): Promise<void> {
-    if (!this.#isWoken) await this.#idle.wait(dueInMs());
-    const restMs = Math.min(this.#tookMs, MAX_ROUND_PAUSE_MS) - (steadyMs() - this.#endedMs);
+    if (!this.#isRoundRequested) await this.#idlePause.wait(dueInMs());
+    const restMs = Math.min(this.#lastRoundMs, MAX_ROUND_PAUSE_MS) - (steadyMs() - this.#endedMs);
     await delay(Math.max(INPUT_BATCH_MS, restMs), this.#signal);
-    this.#isWoken = false;
+    this.#isRoundRequested = false;
   }
 
-  /** Asks for a round. */
+  /** Requests a round. */
   wake(): void {
-    this.#isWoken = true;
-    this.#idle.end();
+    this.#isRoundRequested = true;
+    this.#idlePause.end();
   }
 
-  /** What the next round may place. */
+  /** The limits on placements and starts of the next round. */
   get limits(): RoundLimits {
     return { placingMs: PLACEMENT_BUDGET_MS, starts: this.#starts.capacity, clockMs: steadyMs };
   }
 
-  /** A round has done its work; its append is under way. */
-  roundDone(beganMs: number): void {
+  /** Called when a round has done its work and its append is in flight. */
+  roundDone(startedMs: number): void {
     this.#endedMs = steadyMs();
-    this.#tookMs = this.#endedMs - beganMs;
+    this.#lastRoundMs = this.#endedMs - startedMs;
   }
 
   /**
-   * Sends orders that need nothing stored, a few at a time as well: a job that is cancelled may have
-   * hundreds of tasks. A stop falls due again while it waits here; the same one does not wait twice.
+   * Sends orders that do not depend on a stored record. These are sent in batches too, as a
+   * cancelled job may have hundreds of tasks. A stop that becomes due again while it is queued is
+   * not queued twice.
    */
   sendAtOnce(orders: readonly Order[]): void {
-    const others = orders.filter((order) => !this.#unsent.has(keyOf(order)));
-    for (const order of others) if (order.kind === 'stop') this.#unsent.add(keyOf(order));
-    this.#urgent.send(others);
+    const unqueued = orders.filter((order) => !this.#unsent.has(keyOf(order)));
+    for (const order of unqueued) if (order.kind === 'stop') this.#unsent.add(keyOf(order));
+    this.#urgent.send(unqueued);
   }
 
   /** Sends starts whose bindings are stored. */
@@ -81,13 +86,13 @@
     this.#starts.send(starts);
   }
 
-  /** Asks for a round as soon as many more starts can be taken on. */
+  /** Requests a round as soon as many more starts can be queued. */
   wakeWhenCapacity(): void {
     this.#starts.whenCapacity(() => this.wake());
   }
 }
 
-/** For rounds that must start nothing. */
+/** The limits of rounds that must not start anything. */
 export const NO_STARTS: RoundLimits = { placingMs: 0, starts: 0, clockMs: steadyMs };
 
 function keyOf({ kind, worker, task, run }: Order): string {
--- a/packages/runtime/src/internal/silent-workers.ts
+++ b/packages/runtime/src/internal/silent-workers.ts
@@ -2,16 +2,17 @@
 import { SILENT_WORKER_MS } from './timing.js';
 import type { WorkerLink } from './worker-link.js';
 
-/** Workers on which something runs and that do not answer this node, or never did. */
+/** The workers with running tasks that do not answer this node, or never did. */
 export interface SilentWorkers {
   readonly silent: readonly WorkerState[];
-  /** No other may still turn out to be silent for want of a first answer. */
+  /** False while a worker that was not contacted yet may still turn out to be silent. */
   readonly isComplete: boolean;
 }
 
 /**
- * Finds the silent workers. One that was not asked yet is none of them: with a slow store the list
- * of workers comes late, and named as silent all of them would get no lease in time.
+ * Finds the silent workers. A worker that was not contacted yet does not count as silent: with a
+ * slow store the list of workers arrives late, and if all of them were listed as silent, none would
+ * get a lease in time.
  */
 export function silentWorkers(
   workers: Iterable<WorkerState>,
--- a/packages/runtime/src/internal/start-views.ts
+++ b/packages/runtime/src/internal/start-views.ts
@@ -10,20 +10,22 @@
 import type { WorkFollower } from './work-follower.js';
 import type { WorkerList } from './worker-list.js';
 
-/** How often to look whether the views have been read, in milliseconds. */
-const LOOK_MS = 20;
+/** Interval of checks whether the views have been read, in milliseconds. */
+const POLL_INTERVAL_MS = 20;
 
-/** What a start must not be later than, counted from the record that forbids it. */
+/** The latest times of a start, counted from the record that forbids it. */
 type StartBounds = Pick<NodeSettings, 'drainMs' | 'cancelMs'>;
 
 /**
- * The views that a start rests on, and for how long it may take effect by their ages.
+ * The views that starts are based on, and the window in which a start may take effect given the
+ * ages of the views.
  *
- * A view that is read late, or not at all, looks like one to which nothing was added. By such a list
- * a task begins on a worker that said seconds ago that it leaves, and is lost with it; or one begins
- * whose job was cancelled. What forbids the start was stored after the view was last complete, and
- * the worker refuses a start whose time is over, on its own clock: so a time that ends within the
- * bound after that moment is enough, however long the start then waits or is under way.
+ * A view that is read late, or not at all, looks like a view to which nothing was added. Based on
+ * such a view, a task could start on a worker that announced seconds ago that it is leaving, and be
+ * lost with it; or a task of a cancelled job could start. A record that forbids the start was
+ * stored after the view was last complete, and the worker refuses a start whose window has ended by
+ * its own clock. Therefore a window that ends within the bound after that moment is sufficient,
+ * however long the start is queued or in transit.
  */
 export class StartViews {
   readonly #workers: Pick<WorkerList, 'completeAsOfMs'>;
@@ -36,7 +38,7 @@
 
   #isWaiting = false;
 
-  /** `signal`: given when nobody starts anything any more. */
+  /** `signal`: aborted when nothing is started any more. */
   constructor(
     workers: Pick<WorkerList, 'completeAsOfMs'>,
     work: Pick<WorkFollower, 'jobsCompleteAsOfMs'>,
@@ -49,7 +51,10 @@
     this.#signal = signal;
   }
 
-  /** How long a start that is sent now may take effect, in whole milliseconds; 0: send none. */
+  /**
+   * Returns how long a start that is sent now may take effect, in whole milliseconds; 0 if no start
+   * may be sent.
+   */
   windowMs(nowMs: number): number {
     const workersEndMs = this.#workers.completeAsOfMs + this.#bounds.drainMs;
     const jobsEndMs = this.#work.jobsCompleteAsOfMs + this.#bounds.cancelMs;
@@ -58,18 +63,18 @@
     return windowMs < MIN_START_WINDOW_MS ? 0 : windowMs;
   }
 
-  /** Calls back once starts may be sent again; asked again meanwhile, not twice. */
-  async whenOpen(then: () => void): Promise<void> {
+  /** Calls back once starts may be sent again; calls made while it waits are ignored. */
+  async whenOpen(callback: () => void): Promise<void> {
     if (this.#isWaiting) return;
     this.#isWaiting = true;
     while (!this.#signal.aborted && this.windowMs(steadyMs()) === 0) {
-      await delay(LOOK_MS, this.#signal);
+      await delay(POLL_INTERVAL_MS, this.#signal);
     }
     this.#isWaiting = false;
-    then();
+    callback();
   }
 
-  /** How old the views are, as lines of the log tell it. */
+  /** Returns the ages of the views as log fields. */
   ages(nowMs: number): LogFields {
     return {
       workersAgeMs: Math.round(nowMs - this.#workers.completeAsOfMs),
