--- a/packages/fuzz/src/records/sound-records.ts
+++ b/packages/fuzz/src/records/sound-records.ts
@@ -82,7 +82,7 @@
 function progressOf(id: string): string {
   const job = new JobProgress(specOf(id));
   job.openDue(0);
-  job.begin();
+  job.markRunning();
   const [tasks] = job.occurrences.get(0)!.steps;
   Object.assign(tasks![0]!, { phase: 'bound', run: 1, worker: 'w0' });
   return job.encode();
--- a/packages/jobs/src/admission.ts
+++ b/packages/jobs/src/admission.ts
@@ -24,6 +24,6 @@
   retryAfterMs: RetryAfter,
 ): number | undefined {
   if (schedule || steps.some(({ lasting }) => lasting)) return undefined;
-  const waitsMs = steps.map(({ fills }) => retryAfterMs[capacityClassOf(pool, fills)] ?? 0);
-  return Math.max(0, ...waitsMs) || undefined;
+  const delaysMs = steps.map(({ fills }) => retryAfterMs[capacityClassOf(pool, fills)] ?? 0);
+  return Math.max(0, ...delaysMs) || undefined;
 }
--- a/packages/jobs/src/internal/best-effort-parts.ts
+++ b/packages/jobs/src/internal/best-effort-parts.ts
@@ -1,10 +1,10 @@
 import type { WorkerState } from './worker-state.js';
 
 /** By filling image: the part of the worker's processors that its runs here used lately. */
-export function fillParts(worker: WorkerState): Map<string, number> {
+export function usedParts(worker: WorkerState): Map<string, number> {
   const parts = new Map<string, number>();
-  for (const { spec, seen, measure } of worker.runs.values()) {
-    if (spec.fills && seen) {
+  for (const { spec, confirmed, measure } of worker.runs.values()) {
+    if (spec.fills && confirmed) {
       const part = measure / worker.entry.capacity.cpuMilli;
       parts.set(spec.image, (parts.get(spec.image) ?? 0) + part);
     }
@@ -16,6 +16,6 @@
 export function claimedParts(worker: WorkerState): Map<string, number> {
   const { cpuMilli } = worker.entry.capacity;
   const parts = new Map<string, number>();
-  for (const [image, claimed] of worker.claimedFills()) parts.set(image, claimed / cpuMilli);
+  for (const [image, claimed] of worker.bestEffortClaims()) parts.set(image, claimed / cpuMilli);
   return parts;
 }
--- a/packages/jobs/src/internal/capacity-hold.ts
+++ b/packages/jobs/src/internal/capacity-hold.ts
@@ -4,9 +4,9 @@
 import type { WorkerState } from './worker-state.js';
 
 /** Room is held for one task for so long at most, in milliseconds: usually tasks end within seconds. */
-const LONGEST_HOLD_MS = 10_000;
+const MAX_HOLD_MS = 10_000;
 
-interface Hold {
+interface ActiveHold {
   readonly step: WaitingStep;
   readonly worker: WorkerState;
   readonly sinceMs: number;
@@ -18,7 +18,7 @@
  * room, whatever its turn. One worker at a time takes nothing else until the task fits.
  */
 export class CapacityHold {
-  #hold: Hold | undefined;
+  #hold: ActiveHold | undefined;
 
   /** Steps that found no room, in the order in which it is held for them. */
   readonly #queue = new Map<readonly TaskProgress[], WaitingStep>();
@@ -34,8 +34,8 @@
   }
 
   /** Gives up what is no longer needed, or was held for too long. */
-  review(nowMs: number): void {
-    if (this.#hold && !isHoldable(this.#hold, nowMs)) this.#hold = undefined;
+  releaseStale(nowMs: number): void {
+    if (this.#hold && !isHoldValid(this.#hold, nowMs)) this.#hold = undefined;
   }
 
   /** A task of the step found no room. */
@@ -47,11 +47,16 @@
    * Holds room for the next step, on the one of its workers with the most left; returns whether it
    * has just begun to. `workersFor` tells on which workers room alone is missing.
    */
-  begin(workersFor: (step: WaitingStep) => readonly WorkerState[], nowMs: number): boolean {
+  start(
+    workersLackingCapacity: (step: WaitingStep) => readonly WorkerState[],
+    nowMs: number,
+  ): boolean {
     if (this.#hold) return false;
     for (const [tasks, step] of this.#queue) {
       this.#queue.delete(tasks);
-      const worker = isIdle(step) ? mostLeft(step, workersFor(step)) : undefined;
+      const worker = isIdle(step)
+        ? workerWithMostFreeCpu(step, workersLackingCapacity(step))
+        : undefined;
       if (worker) {
         this.#hold = { step, worker, sinceMs: nowMs };
         return true;
@@ -70,19 +75,22 @@
   return job.boundCount(1) === 0 && tasks.some(({ phase }) => phase === 'waiting');
 }
 
-function isHoldable({ step, worker, sinceMs }: Hold, nowMs: number): boolean {
-  if (nowMs - sinceMs > LONGEST_HOLD_MS) return false;
+function isHoldValid({ step, worker, sinceMs }: ActiveHold, nowMs: number): boolean {
+  if (nowMs - sinceMs > MAX_HOLD_MS) return false;
   return worker.listed && !worker.entry.draining && isIdle(step);
 }
 
-function mostLeft({ spec }: WaitingStep, workers: readonly WorkerState[]): WorkerState | undefined {
+function workerWithMostFreeCpu(
+  { spec }: WaitingStep,
+  workers: readonly WorkerState[],
+): WorkerState | undefined {
   let best: WorkerState | undefined;
-  let most = -Infinity;
+  let mostFreeMilli = -Infinity;
   for (const worker of workers) {
-    const left = worker.entry.capacity.cpuMilli - worker.cpuMilli;
-    if (left > most && worker.wouldHaveRoomFor(spec)) {
+    const freeMilli = worker.entry.capacity.cpuMilli - worker.cpuMilli;
+    if (freeMilli > mostFreeMilli && worker.hasCapacityBesideLongRunning(spec)) {
       best = worker;
-      most = left;
+      mostFreeMilli = freeMilli;
     }
   }
   return best;
--- a/packages/jobs/src/internal/cluster-state.ts
+++ b/packages/jobs/src/internal/cluster-state.ts
@@ -34,7 +34,7 @@
 export class ClusterState {
   readonly timing: SchedulerTiming;
 
-  readonly note: EventLogger;
+  readonly logEvent: EventLogger;
 
   readonly startedMs: number;
 
@@ -53,21 +53,21 @@
 
   orders: Order[] = [];
 
-  readonly turnWaits: IdleWaitEstimator;
+  readonly idleWaits: IdleWaitEstimator;
 
   /** False while jobs that were begun before may not be told yet. */
-  isWhole = true;
+  isFullyLoaded = true;
 
-  constructor(timing: SchedulerTiming, startedMs: number, note: EventLogger) {
+  constructor(timing: SchedulerTiming, startedMs: number, logEvent: EventLogger) {
     this.timing = timing;
     this.startedMs = startedMs;
-    this.turnWaits = new IdleWaitEstimator(startedMs);
-    this.note = note;
+    this.idleWaits = new IdleWaitEstimator(startedMs);
+    this.logEvent = logEvent;
   }
 
   /** Whether a job is not known that may have been begun. */
-  isUntold(jobId: string): boolean {
-    return !this.isWhole && !this.jobs.has(jobId);
+  isUnloaded(jobId: string): boolean {
+    return !this.isFullyLoaded && !this.jobs.has(jobId);
   }
 
   addWorker(entry: WorkerEntry): WorkerState {
@@ -85,32 +85,32 @@
   usage(): Usage {
     return {
       reservedPercent: Math.round(100 * this.reservedShare()),
-      bestEffortPercent: Math.round(100 * this.#shareOf(({ fillMilli }) => fillMilli)),
+      bestEffortPercent: Math.round(100 * this.#shareOf(({ bestEffortMilli }) => bestEffortMilli)),
     };
   }
 
   #shareOf(milliOf: (worker: WorkerState) => number): number {
     let taken = 0;
-    let all = 0;
+    let total = 0;
     for (const worker of this.workers.values()) {
       if (worker.listed) {
         taken += milliOf(worker);
-        all += worker.entry.capacity.cpuMilli;
+        total += worker.entry.capacity.cpuMilli;
       }
     }
-    return all > 0 ? taken / all : 1;
+    return total > 0 ? taken / total : 1;
   }
 
   endJob(job: JobProgress, state: JobState, timeOfDayMs: number): void {
     job.finish(state, timeOfDayMs);
     this.changed.add(job);
-    this.noteEnd(job);
+    this.logJobEnd(job);
   }
 
   /** A job has come to its end: how long it took, and how long it may have taken to be of full use. */
-  noteEnd({ spec, state, endedMs }: JobProgress): void {
+  logJobEnd({ spec, state, endedMs }: JobProgress): void {
     const queue = this.queues.get(spec.queue);
-    this.note('job-ended', {
+    this.logEvent('job-ended', {
       job: spec.id,
       queue: spec.queue,
       state,
@@ -145,7 +145,7 @@
     run.stopSentMs = nowMs;
     run.stopReason ??= reason;
     this.orders.push({ kind: 'stop', worker: worker.entry.id, task: run.ref, run: run.run });
-    this.note('task-stop', {
+    this.logEvent('task-stop', {
       task: taskName(run.ref),
       run: run.run,
       worker: worker.entry.id,
--- a/packages/jobs/src/internal/common-period.ts
+++ b/packages/jobs/src/internal/common-period.ts
@@ -1,7 +1,7 @@
 import { PERIODS_MS } from './harmonic-fit.js';
 
 /** What one fit adds to the figures of all series. */
-const SHARE = 0.01;
+const LEARNING_RATE = 0.01;
 
 /** How much the period that suits all series counts beside the one that suits a single one. */
 const COMMON_WEIGHT = 5;
@@ -18,7 +18,7 @@
   learn(errors: readonly number[]): void {
     const mean = meanOf(errors);
     for (const [i, error] of errors.entries()) {
-      this.#excess[i]! += (error - mean - this.#excess[i]!) * SHARE;
+      this.#excess[i]! += (error - mean - this.#excess[i]!) * LEARNING_RATE;
     }
   }
 
--- a/packages/jobs/src/internal/harmonic-fit.ts
+++ b/packages/jobs/src/internal/harmonic-fit.ts
@@ -5,16 +5,16 @@
 );
 
 /** After so long an observation counts a third, in milliseconds. */
-const FORGET_MS = 8_000;
+const DECAY_MS = 8_000;
 
 /** Pulls the swing towards none, in observations: what was hardly seen is no rhythm. */
-const SWING_RIDGE = 3;
+const AMPLITUDE_RIDGE = 3;
 
 /** Pulls the mean towards the usual one, in observations. */
 const MEAN_RIDGE = 1;
 
 /** A mean and a swing of one period, by least squares. */
-interface Swing {
+interface Harmonic {
   readonly mean: number;
   readonly cosine: number;
   readonly sine: number;
@@ -56,28 +56,28 @@
 
   #atMs = 0;
 
-  #swings: readonly Swing[] = [];
+  #harmonics: readonly Harmonic[] = [];
 
   /** Takes in a value; the usual mean is that of other series. */
-  observe({ value, weight, atMs }: Observation, usualMean: number): void {
-    const kept = Math.exp((this.#atMs - atMs) / FORGET_MS);
+  observe({ value, weight, atMs }: Observation, priorMean: number): void {
+    const decay = Math.exp((this.#atMs - atMs) / DECAY_MS);
     this.#atMs = atMs;
-    this.#weight = this.#weight * kept + weight;
-    this.#y = this.#y * kept + weight * value;
-    this.#yy = this.#yy * kept + weight * value * value;
+    this.#weight = this.#weight * decay + weight;
+    this.#y = this.#y * decay + weight * value;
+    this.#yy = this.#yy * decay + weight * value * value;
     for (const [i, sums] of this.#sums.entries()) {
       const angle = (2 * Math.PI * atMs) / PERIODS_MS[i]!;
       const c = Math.cos(angle);
       const s = Math.sin(angle);
-      sums.c = sums.c * kept + weight * c;
-      sums.s = sums.s * kept + weight * s;
-      sums.cc = sums.cc * kept + weight * c * c;
-      sums.cs = sums.cs * kept + weight * c * s;
-      sums.ss = sums.ss * kept + weight * s * s;
-      sums.yc = sums.yc * kept + weight * value * c;
-      sums.ys = sums.ys * kept + weight * value * s;
+      sums.c = sums.c * decay + weight * c;
+      sums.s = sums.s * decay + weight * s;
+      sums.cc = sums.cc * decay + weight * c * c;
+      sums.cs = sums.cs * decay + weight * c * s;
+      sums.ss = sums.ss * decay + weight * s * s;
+      sums.yc = sums.yc * decay + weight * value * c;
+      sums.ys = sums.ys * decay + weight * value * s;
     }
-    this.#swings = this.#sums.map((sums) => this.#solve(sums, usualMean));
+    this.#harmonics = this.#sums.map((sums) => this.#solve(sums, priorMean));
   }
 
   /** How much the observations count together. */
@@ -87,7 +87,7 @@
 
   /** By period: the mean square of what it leaves unexplained. */
   errors(): number[] {
-    return this.#swings.map(({ mean, cosine, sine }, i) => {
+    return this.#harmonics.map(({ mean, cosine, sine }, i) => {
       const { c, s, cc, cs, ss, yc, ys } = this.#sums[i]!;
       const fit = mean * this.#y + cosine * yc + sine * ys;
       const square =
@@ -101,17 +101,17 @@
 
   /** The value at a time, with the period of this index. */
   at(period: number, atMs: number): number {
-    const { mean, cosine, sine } = this.#swings[period]!;
+    const { mean, cosine, sine } = this.#harmonics[period]!;
     const angle = (2 * Math.PI * atMs) / PERIODS_MS[period]!;
     return mean + cosine * Math.cos(angle) + sine * Math.sin(angle);
   }
 
   /** Cramer's rule; the ridge on the diagonal keeps the determinant positive. */
-  #solve({ c, s, cc, cs, ss, yc, ys }: Sums, usualMean: number): Swing {
+  #solve({ c, s, cc, cs, ss, yc, ys }: Sums, priorMean: number): Harmonic {
     const a = this.#weight + MEAN_RIDGE;
-    const y = this.#y + MEAN_RIDGE * usualMean;
-    const d = cc + SWING_RIDGE;
-    const f = ss + SWING_RIDGE;
+    const y = this.#y + MEAN_RIDGE * priorMean;
+    const d = cc + AMPLITUDE_RIDGE;
+    const f = ss + AMPLITUDE_RIDGE;
     const det = a * (d * f - cs * cs) - c * (c * f - cs * s) + s * (c * cs - d * s);
     const mean = y * (d * f - cs * cs) - c * (yc * f - cs * ys) + s * (yc * cs - d * ys);
     const cosine = a * (yc * f - cs * ys) - y * (c * f - cs * s) + s * (c * ys - yc * s);
--- a/packages/jobs/src/internal/idle-jobs.ts
+++ b/packages/jobs/src/internal/idle-jobs.ts
@@ -1,7 +1,7 @@
 import type { JobProgress } from '../job-progress.js';
 
 /** What idle jobs may have. */
-export interface Allowance {
+export interface IdleAllowance {
   /** For how long a job may be idle before it is overdue, in milliseconds. */
   readonly idleMs: number;
   /** The part of all starts that overdue jobs may have before others. */
@@ -9,41 +9,41 @@
 }
 
 /** While much of the processors is not reserved. */
-const WITH_ROOM: Allowance = { idleMs: 2_000, share: 1 };
+const ALLOWANCE_WITH_CAPACITY: IdleAllowance = { idleMs: 2_000, share: 1 };
 
 /** Where nearly all processors are reserved. */
-const WITHOUT_ROOM: Allowance = { idleMs: 10_000, share: 0.15 };
+const ALLOWANCE_WHEN_FULL: IdleAllowance = { idleMs: 10_000, share: 0.15 };
 
 /** Up to this part of the processors reserved, much is not. */
-const MUCH_ROOM = 0.6;
+const AMPLE_CAPACITY_BELOW = 0.6;
 
 /** From this part on nearly all are. */
-const LITTLE_ROOM = 0.85;
+const FULL_ABOVE = 0.85;
 
 /** After this many times the idle time that it may have, a job takes a slow place as well. */
-const LONG_OVERDUE = 1.25;
+const LONG_STARVED_FACTOR = 1.25;
 
 /** Starts that overdue jobs may have saved up, so that a quiet hour earns them no burst. */
-const MAX_SAVED_STARTS = 5;
+const MAX_START_CREDIT = 5;
 
 /** Places are looked for on behalf of so many overdue jobs in one round at most. */
-const MAX_TURNS = 16;
+const MAX_PRIORITY_STARTS = 16;
 
 /** A job that is idle for longer than this gets a line in the log, in milliseconds. */
-const NOTED_IDLE_MS = 3_000;
+const LOGGED_IDLE_MS = 3_000;
 
 /** The rank of the task of an overdue job. */
-export const OVERDUE = 1;
+export const STARVED_RANK = 1;
 
 /** The rank of the task that an idle job is owed. */
-export const OWED = 4;
+export const CATCH_UP_RANK = 4;
 
 /** A job with tasks to start and none at work. */
 interface IdleJob {
   readonly sinceMs: number;
-  isNoted: boolean;
+  isLogged: boolean;
   /** Overdue jobs have their turns in the order of this: since when they are idle, or found no place. */
-  turnMs: number;
+  queuedSinceMs: number;
 }
 
 /**
@@ -59,41 +59,41 @@
 export class IdleJobs {
   readonly #idle = new WeakMap<JobProgress, IdleJob>();
 
-  #allowance = WITHOUT_ROOM;
+  #allowance = ALLOWANCE_WHEN_FULL;
 
-  #savedStarts = 0;
+  #startCredit = 0;
 
   /** A round begins with this part of the processors reserved. */
-  beginRound(reservedShare: number): void {
+  startRound(reservedShare: number): void {
     this.#allowance = allowanceAt(reservedShare);
   }
 
   /** Looks at a job that could go on, of which so many tasks at workers are halted. */
-  look(job: JobProgress, haltedCount: number, nowMs: number): void {
+  update(job: JobProgress, haltedCount: number, nowMs: number): void {
     if (job.boundCount(haltedCount + 1) > haltedCount) this.#idle.delete(job);
-    else if (!this.#idle.has(job)) this.assume(job, nowMs);
+    else if (!this.#idle.has(job)) this.markIdle(job, nowMs);
   }
 
   /** The job is idle since then. */
-  assume(job: JobProgress, sinceMs: number): void {
-    this.#idle.set(job, { sinceMs, isNoted: false, turnMs: sinceMs });
+  markIdle(job: JobProgress, sinceMs: number): void {
+    this.#idle.set(job, { sinceMs, isLogged: false, queuedSinceMs: sinceMs });
   }
 
   /** As of the newest round. */
-  get allowance(): Allowance {
+  get allowance(): IdleAllowance {
     return this.#allowance;
   }
 
   /** Whether a job is idle for longer than it may be. */
-  isOverdue(job: JobProgress, nowMs: number): boolean {
+  isStarved(job: JobProgress, nowMs: number): boolean {
     const idleMs = this.idleMs(job, nowMs);
     return idleMs !== undefined && idleMs > this.#allowance.idleMs;
   }
 
   /** Whether it is overdue for so long that any place is better than none. */
-  isLongOverdue(job: JobProgress, nowMs: number): boolean {
+  isLongStarved(job: JobProgress, nowMs: number): boolean {
     const idleMs = this.idleMs(job, nowMs);
-    return idleMs !== undefined && idleMs > LONG_OVERDUE * this.#allowance.idleMs;
+    return idleMs !== undefined && idleMs > LONG_STARVED_FACTOR * this.#allowance.idleMs;
   }
 
   /** For how long a job has been idle, in milliseconds; undefined where it is not. */
@@ -103,27 +103,29 @@
   }
 
   /** Whether a job is idle for long, and was not asked for since it is. */
-  isNewlyIdle(job: JobProgress, nowMs: number): boolean {
+  shouldLogIdle(job: JobProgress, nowMs: number): boolean {
     const idle = this.#idle.get(job);
-    if (!idle || idle.isNoted || nowMs - idle.sinceMs <= NOTED_IDLE_MS) return false;
-    idle.isNoted = true;
+    if (!idle || idle.isLogged || nowMs - idle.sinceMs <= LOGGED_IDLE_MS) return false;
+    idle.isLogged = true;
     return true;
   }
 
   /** The overdue jobs whose turn it is in this round, in the order of their turns. */
-  turnsOf(overdue: readonly JobProgress[]): readonly JobProgress[] {
-    if (this.#savedStarts < 1) return [];
-    return [...overdue].sort((a, b) => this.turnMs(a) - this.turnMs(b)).slice(0, MAX_TURNS);
+  withPriorityStart(starved: readonly JobProgress[]): readonly JobProgress[] {
+    if (this.#startCredit < 1) return [];
+    return [...starved]
+      .sort((a, b) => this.queuedSinceMs(a) - this.queuedSinceMs(b))
+      .slice(0, MAX_PRIORITY_STARTS);
   }
 
   /** Idle jobs with a lower value have their turns first. */
-  turnMs(job: JobProgress): number {
-    return this.#idle.get(job)?.turnMs ?? Infinity;
+  queuedSinceMs(job: JobProgress): number {
+    return this.#idle.get(job)?.queuedSinceMs ?? Infinity;
   }
 
   /** Whether a task of an overdue job may still be started in this round. */
   mayStart(job: JobProgress): boolean {
-    return this.#savedStarts >= 1 && this.#idle.has(job);
+    return this.#startCredit >= 1 && this.#idle.has(job);
   }
 
   /**
@@ -133,24 +135,24 @@
    */
   passedOver(job: JobProgress, nowMs: number): void {
     const idle = this.#idle.get(job);
-    if (idle) idle.turnMs = nowMs;
+    if (idle) idle.queuedSinceMs = nowMs;
   }
 
   /** A task of a job was started, as an overdue one's or in the usual order. */
-  started(job: JobProgress, isOverdue: boolean): void {
+  started(job: JobProgress, isPriorityStart: boolean): void {
     this.#idle.delete(job);
-    const saved = this.#savedStarts + this.#allowance.share - (isOverdue ? 1 : 0);
-    this.#savedStarts = Math.max(0, Math.min(MAX_SAVED_STARTS, saved));
+    const credit = this.#startCredit + this.#allowance.share - (isPriorityStart ? 1 : 0);
+    this.#startCredit = Math.max(0, Math.min(MAX_START_CREDIT, credit));
   }
 }
 
 /** Changes evenly from one allowance to the other: a few services more or fewer decide nothing. */
-function allowanceAt(reservedShare: number): Allowance {
-  const part = (reservedShare - MUCH_ROOM) / (LITTLE_ROOM - MUCH_ROOM);
-  const taken = Math.max(0, Math.min(1, part));
-  const between = (from: number, to: number): number => from + taken * (to - from);
+function allowanceAt(reservedShare: number): IdleAllowance {
+  const position = (reservedShare - AMPLE_CAPACITY_BELOW) / (FULL_ABOVE - AMPLE_CAPACITY_BELOW);
+  const fraction = Math.max(0, Math.min(1, position));
+  const interpolate = (from: number, to: number): number => from + fraction * (to - from);
   return {
-    idleMs: between(WITH_ROOM.idleMs, WITHOUT_ROOM.idleMs),
-    share: between(WITH_ROOM.share, WITHOUT_ROOM.share),
+    idleMs: interpolate(ALLOWANCE_WITH_CAPACITY.idleMs, ALLOWANCE_WHEN_FULL.idleMs),
+    share: interpolate(ALLOWANCE_WITH_CAPACITY.share, ALLOWANCE_WHEN_FULL.share),
   };
 }
--- a/packages/jobs/src/internal/idle-wait-estimator.ts
+++ b/packages/jobs/src/internal/idle-wait-estimator.ts
@@ -1,5 +1,5 @@
 import type { RetryAfter } from '../admission.js';
-import type { Allowance } from './idle-jobs.js';
+import type { IdleAllowance } from './idle-jobs.js';
 
 /** Ends are counted over so long, in milliseconds. */
 const WINDOW_MS = 4_000;
@@ -8,10 +8,10 @@
 const BUCKET_MS = 250;
 
 /** Nothing is said of turns before ends were counted for so long, in milliseconds. */
-const LEAST_COUNTED_MS = 1_000;
+const MIN_OBSERVED_MS = 1_000;
 
 /** Fewer idle jobs than this have their turns in one or two rounds, however few tasks end. */
-const LEAST_CROWD = 32;
+const MIN_IDLE_JOBS = 32;
 
 interface Bucket {
   readonly sinceMs: number;
@@ -33,9 +33,9 @@
   }
 
   /** A task of a lane has ended. */
-  ended(lane: string, nowMs: number): void {
-    const buckets = this.#buckets.get(lane) ?? [];
-    this.#buckets.set(lane, buckets);
+  ended(capacityClass: string, nowMs: number): void {
+    const buckets = this.#buckets.get(capacityClass) ?? [];
+    this.#buckets.set(capacityClass, buckets);
     const newest = buckets.at(-1);
     if (newest && nowMs - newest.sinceMs < BUCKET_MS) newest.count += 1;
     else buckets.push({ sinceMs: nowMs, count: 1 });
@@ -46,20 +46,25 @@
    * By lane in which the turns of so many idle jobs take too long: in how many milliseconds they no
    * longer do, if no job comes. Where nothing ends at all nothing is known of them.
    */
-  tooLong(idleJobs: ReadonlyMap<string, number>, allowance: Allowance, nowMs: number): RetryAfter {
+  retryAfter(
+    idleJobs: ReadonlyMap<string, number>,
+    allowance: IdleAllowance,
+    nowMs: number,
+  ): RetryAfter {
     const excess: Record<string, number> = {};
-    const countedMs = Math.min(WINDOW_MS, nowMs - this.#sinceMs);
-    if (countedMs < LEAST_COUNTED_MS) return excess;
-    for (const [lane, count] of idleJobs) {
-      const turns = this.#count(lane, nowMs) * allowance.share;
-      const excessMs = (count * countedMs) / turns - allowance.idleMs;
-      if (count >= LEAST_CROWD && turns > 0 && excessMs > 0) excess[lane] = Math.ceil(excessMs);
+    const observedMs = Math.min(WINDOW_MS, nowMs - this.#sinceMs);
+    if (observedMs < MIN_OBSERVED_MS) return excess;
+    for (const [capacityClass, count] of idleJobs) {
+      const priorityStarts = this.#count(capacityClass, nowMs) * allowance.share;
+      const excessMs = (count * observedMs) / priorityStarts - allowance.idleMs;
+      if (count >= MIN_IDLE_JOBS && priorityStarts > 0 && excessMs > 0)
+        excess[capacityClass] = Math.ceil(excessMs);
     }
     return excess;
   }
 
-  #count(lane: string, nowMs: number): number {
-    const recent = (this.#buckets.get(lane) ?? []).filter(
+  #count(capacityClass: string, nowMs: number): number {
+    const recent = (this.#buckets.get(capacityClass) ?? []).filter(
       ({ sinceMs }) => sinceMs >= nowMs - WINDOW_MS,
     );
     return recent.reduce((sum, { count }) => sum + count, 0);
--- a/packages/jobs/src/internal/interference-model.ts
+++ b/packages/jobs/src/internal/interference-model.ts
@@ -1,5 +1,5 @@
 /** What one sample keeps of its weight when the next of its image comes: interference shifts. */
-const FADE = 0.9995;
+const DECAY = 0.9995;
 
 /** Pulls what was hardly seen towards no disturbance; in squares of a host's part. */
 const RIDGE = 0.05;
@@ -11,22 +11,22 @@
 const MAX_SLACK = 5;
 
 /** Samples of an image after which its weights are worked out again. */
-const SOLVE_EVERY = 8;
+const SOLVE_INTERVAL = 8;
 
 /** A filling image that used less than this part of a host tells nothing. */
-const NOTICEABLE = 0.005;
+const MIN_NOTICEABLE_PART = 0.005;
 
 /**
  * How much weights that an earlier scheduling node learned count here, in squares of a host's
  * part: as much as twenty samples of an image that used a fourteenth of a host.
  */
-const KNOWN_BEFORE = 0.1;
+const RESTORED_WEIGHT = 0.1;
 
 /** By serving image, the weights of filling images. */
 export type InterferenceWeights = Readonly<Record<string, Readonly<Record<string, number>>>>;
 
 /** One measured tail and what filled the same worker at that time. */
-export interface TailSample {
+export interface TailLatencySample {
   readonly image: string;
   /** The slack of the tail, or how far it is from what the task's own load explains. */
   readonly slack: number;
@@ -50,10 +50,10 @@
   add(parts: ReadonlyMap<string, number>, value: number): void {
     const inputs = new Map([[0, 1]]);
     for (const [image, part] of parts) {
-      if (part >= NOTICEABLE) inputs.set(this.#indexOf(image), part);
+      if (part >= MIN_NOTICEABLE_PART) inputs.set(this.#indexOf(image), part);
     }
-    for (const row of this.#products) for (let i = 0; i < row.length; i += 1) row[i]! *= FADE;
-    for (let i = 0; i < this.#targets.length; i += 1) this.#targets[i]! *= FADE;
+    for (const row of this.#products) for (let i = 0; i < row.length; i += 1) row[i]! *= DECAY;
+    for (let i = 0; i < this.#targets.length; i += 1) this.#targets[i]! *= DECAY;
     for (const [i, a] of inputs) {
       this.#targets[i]! += a * value;
       for (const [j, b] of inputs) this.#products[i]![j]! += a * b;
@@ -64,16 +64,16 @@
   weightOf(image: string): number {
     const index = this.#indexes.get(image);
     if (index === undefined) return 0;
-    if (this.#unsolved >= SOLVE_EVERY) this.#solve();
+    if (this.#unsolved >= SOLVE_INTERVAL) this.#solve();
     return Math.max(0, this.#weights[index] ?? 0);
   }
 
   /** Takes a weight for known until there are enough samples of it. */
-  assume(image: string, weight: number): void {
+  restore(image: string, weight: number): void {
     const index = this.#indexOf(image);
-    this.#products[index]![index]! += KNOWN_BEFORE;
-    this.#targets[index]! += KNOWN_BEFORE * weight;
-    this.#unsolved = SOLVE_EVERY;
+    this.#products[index]![index]! += RESTORED_WEIGHT;
+    this.#targets[index]! += RESTORED_WEIGHT * weight;
+    this.#unsolved = SOLVE_INTERVAL;
   }
 
   weights(): Record<string, number> {
@@ -139,15 +139,15 @@
 export class InterferenceModel {
   readonly #fits = new Map<string, ImageFit>();
 
-  learn({ image, slack, parts }: TailSample): void {
+  learn({ image, slack, parts }: TailLatencySample): void {
     this.#fitOf(image).add(parts, -slack);
   }
 
   /** Starts from what an earlier scheduling node has learned. */
-  assume(weights: InterferenceWeights): void {
-    for (const [serving, byFill] of Object.entries(weights)) {
-      for (const [fill, weight] of Object.entries(byFill))
-        this.#fitOf(serving).assume(fill, weight);
+  restore(weights: InterferenceWeights): void {
+    for (const [serving, byBestEffort] of Object.entries(weights)) {
+      for (const [bestEffort, weight] of Object.entries(byBestEffort))
+        this.#fitOf(serving).restore(bestEffort, weight);
     }
   }
 
@@ -157,14 +157,14 @@
   }
 
   /** The slack that a whole host of the filling image would take. */
-  weight(serving: string, filling: string): number {
-    return this.#fits.get(serving)?.weightOf(filling) ?? 0;
+  weight(serving: string, bestEffort: string): number {
+    return this.#fits.get(serving)?.weightOf(bestEffort) ?? 0;
   }
 
   /** The slack that these parts of a host take. */
   lostSlack(serving: string, parts: ReadonlyMap<string, number>): number {
     let sum = 0;
-    for (const [filling, part] of parts) sum += this.weight(serving, filling) * part;
+    for (const [bestEffort, part] of parts) sum += this.weight(serving, bestEffort) * part;
     return sum;
   }
 
--- a/packages/jobs/src/internal/latency-headroom.ts
+++ b/packages/jobs/src/internal/latency-headroom.ts
@@ -10,7 +10,7 @@
 const PLACING_SLACK = 1.2;
 
 /** So far ahead slack is expected, in ms: a task that is halted sooner has lost its start. */
-const AHEAD_MS = 2_500;
+const FORECAST_MS = 2_500;
 
 /** The slack that is kept where a task of a job that starves is placed. */
 const STARVED_SLACK = 1.15;
@@ -18,10 +18,10 @@
 /** Taking less slack than this is not worth a thought. */
 const NEGLIGIBLE_INTERFERENCE = 0.05;
 
-interface KnownRooms {
+interface CachedHeadroom {
   readonly version: number;
   /** By serving image: the least room of its tasks on the worker. */
-  readonly rooms: ReadonlyMap<string, number>;
+  readonly byImage: ReadonlyMap<string, number>;
 }
 
 /**
@@ -32,63 +32,63 @@
 export class LatencyHeadroom {
   readonly #model: TailLatencyModel;
 
-  readonly #known = new WeakMap<WorkerState, KnownRooms>();
+  readonly #cache = new WeakMap<WorkerState, CachedHeadroom>();
 
   constructor(model: TailLatencyModel) {
     this.#model = model;
   }
 
   /** What is left after a task of the step is started there; Infinity if it disturbs nobody. */
-  roomBeside(spec: StepSpec, worker: WorkerState, nowMs: number): number {
+  headroomWith(spec: StepSpec, worker: WorkerState, nowMs: number): number {
     const part = spec.cpuMilli / worker.entry.capacity.cpuMilli;
-    let least = Infinity;
-    for (const [image, room] of this.#roomsOf(worker, nowMs)) {
+    let minHeadroom = Infinity;
+    for (const [image, headroom] of this.#headroomOf(worker, nowMs)) {
       const lost = this.#model.interference.weight(image, spec.image) * part;
-      if (lost > NEGLIGIBLE_INTERFERENCE) least = Math.min(least, room - lost);
+      if (lost > NEGLIGIBLE_INTERFERENCE) minHeadroom = Math.min(minHeadroom, headroom - lost);
     }
-    return least;
+    return minHeadroom;
   }
 
   /** The share of its speed at which a task of the step could work there, with all beside it. */
-  shareBeside(spec: StepSpec, worker: WorkerState, nowMs: number): number {
+  speedWith(spec: StepSpec, worker: WorkerState, nowMs: number): number {
     const parts = claimedParts(worker);
     const { cpuMilli } = worker.entry.capacity;
     parts.set(spec.image, (parts.get(spec.image) ?? 0) + spec.cpuMilli / cpuMilli);
-    let share = 1;
+    let speed = 1;
     for (const run of worker.runs.values()) {
       const { image, targetMs } = run.spec;
       if (
         targetMs > 0 &&
         this.#model.interference.weight(image, spec.image) > NEGLIGIBLE_INTERFERENCE
       ) {
-        const slack = this.#model.ownSlack(run, worker, nowMs, AHEAD_MS) - STARVED_SLACK;
-        share = Math.min(share, slack / this.#model.interference.lostSlack(image, parts));
+        const slack = this.#model.baselineSlack(run, worker, nowMs, FORECAST_MS) - STARVED_SLACK;
+        speed = Math.min(speed, slack / this.#model.interference.lostSlack(image, parts));
       }
     }
-    return share;
+    return speed;
   }
 
-  #roomsOf(worker: WorkerState, nowMs: number): ReadonlyMap<string, number> {
-    const known = this.#known.get(worker);
-    if (known?.version === worker.version) return known.rooms;
-    const rooms = this.#roomsNow(worker, nowMs);
-    this.#known.set(worker, { version: worker.version, rooms });
-    return rooms;
+  #headroomOf(worker: WorkerState, nowMs: number): ReadonlyMap<string, number> {
+    const known = this.#cache.get(worker);
+    if (known?.version === worker.version) return known.byImage;
+    const byImage = this.#computeHeadroom(worker, nowMs);
+    this.#cache.set(worker, { version: worker.version, byImage });
+    return byImage;
   }
 
-  #roomsNow(worker: WorkerState, nowMs: number): Map<string, number> {
-    const rooms = new Map<string, number>();
+  #computeHeadroom(worker: WorkerState, nowMs: number): Map<string, number> {
+    const byImage = new Map<string, number>();
     for (const run of worker.runs.values()) {
       if (run.spec.targetMs > 0) {
         const { image } = run.spec;
-        const room = this.#model.ownSlack(run, worker, nowMs, AHEAD_MS) - PLACING_SLACK;
-        rooms.set(image, Math.min(room, rooms.get(image) ?? Infinity));
+        const headroom = this.#model.baselineSlack(run, worker, nowMs, FORECAST_MS) - PLACING_SLACK;
+        byImage.set(image, Math.min(headroom, byImage.get(image) ?? Infinity));
       }
     }
     const claimed = claimedParts(worker);
-    for (const [image, room] of rooms) {
-      rooms.set(image, room - this.#model.interference.lostSlack(image, claimed));
+    for (const [image, headroom] of byImage) {
+      byImage.set(image, headroom - this.#model.interference.lostSlack(image, claimed));
     }
-    return rooms;
+    return byImage;
   }
 }
--- a/packages/jobs/src/internal/obstacle.ts
+++ b/packages/jobs/src/internal/obstacle.ts
@@ -17,7 +17,8 @@
 export function mostFrequent(obstacles: Iterable<Obstacle>): Obstacle {
   const counts = new Map<Obstacle, number>();
   for (const obstacle of obstacles) counts.set(obstacle, (counts.get(obstacle) ?? 0) + 1);
-  let most: Obstacle = 'closed';
-  for (const [obstacle, count] of counts) if (count > (counts.get(most) ?? 0)) most = obstacle;
-  return most;
+  let mostCommon: Obstacle = 'closed';
+  for (const [obstacle, count] of counts)
+    if (count > (counts.get(mostCommon) ?? 0)) mostCommon = obstacle;
+  return mostCommon;
 }
--- a/packages/jobs/src/internal/pacing.ts
+++ b/packages/jobs/src/internal/pacing.ts
@@ -1,6 +1,6 @@
 import { claimedParts } from './best-effort-parts.js';
 import type { TailLatencyModel } from './tail-latency-model.js';
-import { hasTail } from './tail-latency-model.js';
+import { hasTailLatency } from './tail-latency-model.js';
 import type { WorkerRun, WorkerState } from './worker-state.js';
 
 /**
@@ -11,38 +11,38 @@
 const PACING_SLACK = 1.15;
 
 /** So far ahead slack is expected, in ms: until the next report a second may pass. */
-const AHEAD_MS = 1_000;
+const FORECAST_MS = 1_000;
 
 /** Above this part of its target a tail is too long: what disturbs it works slower at once. */
-const NEAR_TARGET = 0.9;
+const NEAR_TARGET_RATIO = 0.9;
 
 /** Paces are multiples of this, in percent; a smaller change is not worth a call. */
 const PACE_STEP = 10;
 
 /** A task slower than this holds its memory and gets nowhere: it is halted, in percent. */
-const LEAST_PACE = 50;
+const MIN_PACE = 50;
 
 /** The tail is measured over half a second; a change shows after that and one renewal, in ms. */
 const SETTLE_MS = 700;
 
 /** Disturbing images wait longer before they speed up: the load swings within seconds. */
-const SPEED_UP_MS = 1_200;
+const SPEED_UP_DELAY_MS = 1_200;
 
 /** A filling image that takes less slack than this is not to blame for a tail. */
-const BLAME = 0.1;
+const MIN_BLAMED_SLACK = 0.1;
 
 /**
  * The share of their speed that filling tasks keep beside a missed target with no known cause. It
  * may be the serving task's own load, and then a halt would help nobody; where it is not, the halt
  * after `HALT_MS` follows.
  */
-const UNKNOWN_CAUSE_SHARE = 0.5;
+const UNKNOWN_CAUSE_LIMIT = 0.5;
 
 /**
  * A target missed for so long halts every filling task beside it, in ms: the causes that are
  * known were halted before and did not suffice, and users notice a few seconds.
  */
-const HALT_MS = 1_200;
+const HALT_AFTER_MS = 1_200;
 
 /** A change of pace for one run. */
 export interface PaceChange {
@@ -62,15 +62,15 @@
   model: TailLatencyModel,
   nowMs: number,
 ): PaceChange[] {
-  const serving = [...worker.runs.values()].filter(hasTail);
-  const worst = Math.max(0, ...serving.map(ratioOf));
+  const serving = [...worker.runs.values()].filter(hasTailLatency);
+  const worstRatio = Math.max(0, ...serving.map(targetRatioOf));
   const limits = mustHalt(worker, nowMs) ? undefined : limitsOf(worker, serving, model, nowMs);
-  const sinceMs = nowMs - worker.paceChangedMs;
+  const sinceChangeMs = nowMs - worker.paceChangedMs;
   const changes: PaceChange[] = [];
   for (const run of worker.runs.values()) {
-    if (run.spec.fills && run.seen) {
+    if (run.spec.fills && run.confirmed) {
       const limit = limits ? limits.get(run.spec.image) : 0;
-      const percent = nextPace(run.pace, limit, worst, sinceMs);
+      const percent = nextPace(run.pace, limit, worstRatio, sinceChangeMs);
       if (percent !== run.pace) changes.push({ run, percent });
     }
   }
@@ -78,13 +78,13 @@
 }
 
 /** The tail as a part of its target. */
-function ratioOf({ measure, spec }: WorkerRun): number {
+function targetRatioOf({ measure, spec }: WorkerRun): number {
   return measure / spec.targetMs;
 }
 
 function mustHalt(worker: WorkerState, nowMs: number): boolean {
-  for (const { overSinceMs } of worker.runs.values()) {
-    if (overSinceMs > 0 && nowMs - overSinceMs >= HALT_MS) return true;
+  for (const { missedTargetSinceMs } of worker.runs.values()) {
+    if (missedTargetSinceMs > 0 && nowMs - missedTargetSinceMs >= HALT_AFTER_MS) return true;
   }
   return false;
 }
@@ -97,49 +97,57 @@
   nowMs: number,
 ): Map<string, number> {
   const limits = new Map<string, number>();
-  const limit = (fill: string, share: number): void => {
-    limits.set(fill, Math.min(share, limits.get(fill) ?? 1));
+  const limit = (image: string, share: number): void => {
+    limits.set(image, Math.min(share, limits.get(image) ?? 1));
   };
   for (const run of serving) {
     const interferences = interferenceOn(run.spec.image, worker, model);
     const full = interferences.reduce((sum, { lostSlack }) => sum + lostSlack, 0);
-    const share = (model.ownSlack(run, worker, nowMs, AHEAD_MS) - PACING_SLACK) / full;
-    for (const { fill } of interferences) limit(fill, Math.max(0, share));
-    if (interferences.length === 0 && ratioOf(run) > 1) {
-      for (const fill of worker.claimedFills().keys()) limit(fill, UNKNOWN_CAUSE_SHARE);
+    const share = (model.baselineSlack(run, worker, nowMs, FORECAST_MS) - PACING_SLACK) / full;
+    for (const { image } of interferences) limit(image, Math.max(0, share));
+    if (interferences.length === 0 && targetRatioOf(run) > 1) {
+      for (const image of worker.bestEffortClaims().keys()) limit(image, UNKNOWN_CAUSE_LIMIT);
     }
   }
   return limits;
 }
 
 interface Interference {
-  readonly fill: string;
+  readonly image: string;
   /** The slack that the image's runs here take when they work at full speed. */
   readonly lostSlack: number;
 }
 
 function interferenceOn(
-  image: string,
+  servingImage: string,
   worker: WorkerState,
   model: TailLatencyModel,
 ): Interference[] {
   return [...claimedParts(worker)]
-    .map(([fill, part]) => ({ fill, lostSlack: model.interference.weight(image, fill) * part }))
-    .filter(({ lostSlack }) => lostSlack > BLAME);
+    .map(([image, part]) => ({
+      image,
+      lostSlack: model.interference.weight(servingImage, image) * part,
+    }))
+    .filter(({ lostSlack }) => lostSlack > MIN_BLAMED_SLACK);
 }
 
-function nextPace(pace: number, limit: number | undefined, worst: number, sinceMs: number): number {
+function nextPace(
+  pace: number,
+  limit: number | undefined,
+  worstRatio: number,
+  sinceChangeMs: number,
+): number {
   const wanted = roundPace(limit);
   if (wanted === 0) return 0;
   if (wanted < pace) {
-    const isUrgent = worst > NEAR_TARGET;
-    return isUrgent || sinceMs >= SETTLE_MS ? wanted : pace;
+    const isUrgent = worstRatio > NEAR_TARGET_RATIO;
+    return isUrgent || sinceChangeMs >= SETTLE_MS ? wanted : pace;
   }
-  if (worst > 1) return pace;
-  return sinceMs >= (limit === undefined ? SETTLE_MS : SPEED_UP_MS) ? wanted : pace;
+  if (worstRatio > 1) return pace;
+  return sinceChangeMs >= (limit === undefined ? SETTLE_MS : SPEED_UP_DELAY_MS) ? wanted : pace;
 }
 
 function roundPace(limit = 1): number {
   const percent = Math.floor((limit * 100) / PACE_STEP) * PACE_STEP;
-  return percent < LEAST_PACE ? 0 : Math.min(100, percent);
+  return percent < MIN_PACE ? 0 : Math.min(100, percent);
 }
--- a/packages/jobs/src/internal/placement.ts
+++ b/packages/jobs/src/internal/placement.ts
@@ -23,10 +23,15 @@
   ): number | Obstacle;
 
   /** The same for any worker, also where it takes nothing or has no room. */
-  look(spec: StepSpec, worker: WorkerState, nowMs: number, isStarved = false): number | Obstacle {
+  evaluate(
+    spec: StepSpec,
+    worker: WorkerState,
+    nowMs: number,
+    isStarved = false,
+  ): number | Obstacle {
     if (!isOpen(worker, nowMs)) return 'closed';
     if (!hasLabel(spec, worker)) return 'label';
-    if (!worker.hasRoomFor(spec)) return 'room';
+    if (!worker.hasCapacityFor(spec)) return 'room';
     return isStarved ? this.starvedScore(spec, worker, nowMs) : this.score(spec, worker, nowMs);
   }
 }
@@ -54,14 +59,14 @@
 function isOpen(worker: WorkerState, nowMs: number): boolean {
   if (!worker.listed || !worker.fenced || worker.entry.draining) return false;
   if (nowMs - worker.answeredMs > SILENT_MS) return false;
-  return nowMs >= worker.fullUntilMs && !worker.health.isResting(nowMs);
+  return nowMs >= worker.fullUntilMs && !worker.health.isSuspected(nowMs);
 }
 
 /**
  * Serving tasks are believed to use this part of their claim on average when filling tasks are
  * placed beside them; the rest is left over for these.
  */
-const SERVING_USE = 0.5;
+const SERVING_UTILISATION = 0.5;
 
 /** What a rack with the step's data is worth against free processor time, in thousandths of a core. */
 const RACK_BONUS = 20_000;
@@ -76,7 +81,7 @@
 const OTHER_IMAGE_COST = 20_000;
 
 /** A task of a job that starves goes where it can work at this share of its speed at least. */
-const LEAST_STARVED_SHARE = 0.3;
+const MIN_STARVED_SPEED = 0.3;
 
 /** Larger than any score, in thousandths of a core. */
 const STARVED_COST = 10_000_000;
@@ -87,46 +92,46 @@
  * serving tasks leave room for them.
  */
 export class WorstFit extends PlacementPolicy {
-  readonly #rooms: LatencyHeadroom;
+  readonly #headroom: LatencyHeadroom;
 
   constructor(model: TailLatencyModel) {
     super();
-    this.#rooms = new LatencyHeadroom(model);
+    this.#headroom = new LatencyHeadroom(model);
   }
 
   protected score(spec: StepSpec, worker: WorkerState, nowMs: number): number | Obstacle {
-    const near = spec.dataRack && worker.entry.labels.includes(spec.dataRack) ? RACK_BONUS : 0;
+    const rackBonus = spec.dataRack && worker.entry.labels.includes(spec.dataRack) ? RACK_BONUS : 0;
     if (spec.fills) {
-      const score = this.#fillScore(spec, worker, nowMs);
-      return typeof score === 'number' ? near + score : score;
+      const score = this.#bestEffortScore(spec, worker, nowMs);
+      return typeof score === 'number' ? rackBonus + score : score;
     }
     const free = worker.entry.capacity.cpuMilli - worker.cpuMilli;
-    if (spec.targetMs > 0) return near + free / 2 + companyScore(spec, worker);
-    return near + free - worker.fillMilli / 4;
+    if (spec.targetMs > 0) return rackBonus + free / 2 + colocationScore(spec, worker);
+    return rackBonus + free - worker.bestEffortMilli / 4;
   }
 
   protected starvedScore(spec: StepSpec, worker: WorkerState, nowMs: number): number | Obstacle {
     const score = this.score(spec, worker, nowMs);
     if (typeof score === 'number' || score === 'harmed') return score;
-    const share = this.#rooms.shareBeside(spec, worker, nowMs);
+    const share = this.#headroom.speedWith(spec, worker, nowMs);
     // Below every place where it could work at full speed.
-    return share < LEAST_STARVED_SHARE ? score : (share - 2) * STARVED_COST;
+    return share < MIN_STARVED_SPEED ? score : (share - 2) * STARVED_COST;
   }
 
-  #fillScore(spec: StepSpec, worker: WorkerState, nowMs: number): number | Obstacle {
-    if (worker.isHarmed()) return 'harmed';
+  #bestEffortScore(spec: StepSpec, worker: WorkerState, nowMs: number): number | Obstacle {
+    if (worker.missesTarget()) return 'harmed';
     const { cpuMilli } = worker.entry.capacity;
-    const used = worker.cpuMilli - worker.servingMilli * (1 - SERVING_USE);
-    const left = cpuMilli - used - worker.fillMilli;
+    const used = worker.cpuMilli - worker.servingMilli * (1 - SERVING_UTILISATION);
+    const left = cpuMilli - used - worker.bestEffortMilli;
     if (left < spec.cpuMilli) return 'processors';
-    const room = this.#rooms.roomBeside(spec, worker, nowMs);
-    if (room < 0) return 'slack';
+    const headroom = this.#headroom.headroomWith(spec, worker, nowMs);
+    if (headroom < 0) return 'slack';
     // One unit of slack to spare is worth as much as a whole empty worker, and more is no use.
-    return left + Math.min(1, room) * cpuMilli;
+    return left + Math.min(1, headroom) * cpuMilli;
   }
 }
 
-function companyScore(spec: StepSpec, worker: WorkerState): number {
+function colocationScore(spec: StepSpec, worker: WorkerState): number {
   let score = 0;
   for (const [image, count] of worker.servingImages) {
     score += image === spec.image ? count * SAME_IMAGE_BONUS : -OTHER_IMAGE_COST;
--- a/packages/jobs/src/internal/report-reader.ts
+++ b/packages/jobs/src/internal/report-reader.ts
@@ -15,7 +15,7 @@
 const DEFAULT_ATTEMPTS = 3;
 
 /** So many ends at most stand in one report; in a full one others may be missing. */
-const FULL_REPORT = 500;
+const MAX_REPORTED_ENDS = 500;
 
 /** Works the reports of workers into the jobs: what runs, what has ended, what never began. */
 export class ReportReader {
@@ -31,54 +31,55 @@
   /** Takes in one report; it was asked for at `askedMs`. */
   read(worker: WorkerState, report: WorkerReport, askedMs: number, nowMs: number): void {
     Object.assign(worker, { answeredMs: nowMs });
-    if (!worker.fenced) this.#fenced(worker, report, nowMs);
-    for (const row of report.running) this.#running(worker, row, nowMs);
-    const isRead = this.#readEnds(worker, report.ended, nowMs);
-    if (isRead && report.ended.length < FULL_REPORT) this.#releaseAbsent(worker, report, askedMs);
-    worker.measured();
+    if (!worker.fenced) this.#markFenced(worker, report, nowMs);
+    for (const row of report.running) this.#updateRun(worker, row, nowMs);
+    const areAllRead = this.#readEnds(worker, report.ended, nowMs);
+    if (areAllRead && report.ended.length < MAX_REPORTED_ENDS)
+      this.#releaseAbsent(worker, report, askedMs);
+    worker.markMeasured();
     this.#model.learn(worker, nowMs);
-    this.#pace(worker, nowMs);
+    this.#adjustPaces(worker, nowMs);
   }
 
-  #running(worker: WorkerState, row: RunningRow, nowMs: number): void {
+  #updateRun(worker: WorkerState, row: RunningRow, nowMs: number): void {
     const run = worker.runs.get(row.task);
     if (!run || run.run !== row.run) {
-      this.#stray(worker, row, nowMs);
+      this.#addOrphanedRun(worker, row, nowMs);
       return;
     }
-    run.seen = true;
-    if (row.checkpoint !== run.checkpoint) run.savedMs = nowMs;
+    run.confirmed = true;
+    if (row.checkpoint !== run.checkpoint) run.checkpointedMs = nowMs;
     run.checkpoint = row.checkpoint;
     run.measure = row.measure;
-    const isOver = run.spec.targetMs > 0 && row.measure > run.spec.targetMs;
-    run.overSinceMs = isOver ? run.overSinceMs || nowMs : 0;
-    if (row.percent !== run.percent || row.percent === 100) run.movedMs = nowMs;
+    const isOverTarget = run.spec.targetMs > 0 && row.measure > run.spec.targetMs;
+    run.missedTargetSinceMs = isOverTarget ? run.missedTargetSinceMs || nowMs : 0;
+    if (row.percent !== run.percent || row.percent === 100) run.progressedMs = nowMs;
     run.percent = row.percent;
     const job = this.#state.jobs.get(run.ref.jobId);
     const task = job && findTask(job, run.ref);
     if (task?.phase === 'bound' && row.checkpoint) task.checkpoint = row.checkpoint;
-    const idleMs = nowMs - run.movedMs;
+    const idleMs = nowMs - run.progressedMs;
     if (idleMs > this.#state.timing.stallTimeoutMs && run.pace === 100 && run.stopSentMs === 0) {
-      this.#state.note('run-stands-still', {
+      this.#state.logEvent('run-stands-still', {
         task: row.task,
         run: row.run,
         worker: worker.entry.id,
         idleMs,
       });
-      worker.health.stoodStill(nowMs);
+      worker.health.stalled(nowMs);
       this.#state.stopRun(worker, run, 'stands-still', nowMs);
     }
   }
 
   /** A run that no job asks for: from before a lapse, or of a job that is long over. */
-  #stray(worker: WorkerState, row: RunningRow, nowMs: number): void {
+  #addOrphanedRun(worker: WorkerState, row: RunningRow, nowMs: number): void {
     const ref = parseTaskName(row.task);
     if (!ref) return;
     const spec = this.#state.jobs.get(ref.jobId)?.spec.steps[ref.step] ?? PLAIN_STEP;
     const run = newRun(ref, { run: row.run, checkpoint: row.checkpoint }, spec, nowMs);
     if (worker.runs.has(row.task)) return;
-    worker.add(row.task, { ...run, seen: true, settledMs: -Infinity });
-    this.#state.note('stray-run', { task: row.task, run: row.run, worker: worker.entry.id });
+    worker.add(row.task, { ...run, confirmed: true, sendCompletedMs: -Infinity });
+    this.#state.logEvent('stray-run', { task: row.task, run: row.run, worker: worker.entry.id });
   }
 
   /**
@@ -88,13 +89,14 @@
   #readEnds(worker: WorkerState, ended: readonly EndedRow[], nowMs: number): boolean {
     for (const row of ended) {
       const ref = parseTaskName(row.task);
-      if (ref && row.number > worker.processedEnd && this.#state.isUntold(ref.jobId)) return false;
-      if (row.number > worker.processedEnd) this.#ended(worker, row, nowMs);
+      if (ref && row.number > worker.processedEnd && this.#state.isUnloaded(ref.jobId))
+        return false;
+      if (row.number > worker.processedEnd) this.#processEnd(worker, row, nowMs);
     }
     return true;
   }
 
-  #ended(worker: WorkerState, row: EndedRow, nowMs: number): void {
+  #processEnd(worker: WorkerState, row: EndedRow, nowMs: number): void {
     worker.processedEnd = row.number;
     this.#state.endsProcessed.add(worker);
     const ref = parseTaskName(row.task);
@@ -102,14 +104,14 @@
     const run = worker.runs.get(row.task);
     const isCurrent = run?.run === row.run;
     if (isCurrent) worker.remove(row.task);
-    if (run) this.#state.turnWaits.ended(capacityClassOf(worker.entry.pool, run.spec.fills), nowMs);
+    if (run) this.#state.idleWaits.ended(capacityClassOf(worker.entry.pool, run.spec.fills), nowMs);
     if (row.how === 'done') worker.health.ended(true, nowMs);
     if (row.how === 'failed') worker.health.ended(false, nowMs);
     const job = this.#state.jobs.get(ref.jobId);
     const task = job && findTask(job, ref);
     const isBinding =
       task?.phase === 'bound' && task.run === row.run && task.worker === worker.entry.id;
-    this.#state.note('run-ended', {
+    this.#state.logEvent('run-ended', {
       task: row.task,
       run: row.run,
       worker: worker.entry.id,
@@ -118,39 +120,39 @@
     });
     if (!job || !task) return;
     if (isBinding) this.#taskEnded(job, ref, task, row);
-    else if (row.how === 'done') this.#lateDone(job, ref, task);
+    else if (row.how === 'done') this.#completeLate(job, ref, task);
   }
 
   #taskEnded(job: JobProgress, ref: TaskRef, task: TaskProgress, row: EndedRow): void {
     const spec = job.spec.steps[ref.step]!;
     this.#state.changed.add(job);
     if (row.how === 'done' && !spec.lasting) {
-      this.#done(job, ref, spec);
+      this.#complete(job, ref, spec);
       return;
     }
     this.#state.release(job, task, row.checkpoint);
-    if (row.how === 'failed' && !spec.lasting) this.#failed(job, ref, task, spec);
+    if (row.how === 'failed' && !spec.lasting) this.#countFailure(job, ref, task, spec);
   }
 
   /**
    * A run that was given up has ended well after all: its worker was out of reach until its leases
    * were over. The task is done, and a later run of it is not needed.
    */
-  #lateDone(job: JobProgress, ref: TaskRef, task: TaskProgress): void {
+  #completeLate(job: JobProgress, ref: TaskRef, task: TaskProgress): void {
     const spec = job.spec.steps[ref.step]!;
     const isOpen = task.phase === 'waiting' || task.phase === 'bound';
     if (!isOpen || spec.lasting || isFinal(job.state)) return;
     this.#state.changed.add(job);
-    this.#done(job, ref, spec);
+    this.#complete(job, ref, spec);
   }
 
-  #done(job: JobProgress, ref: TaskRef, spec: StepSpec): void {
+  #complete(job: JobProgress, ref: TaskRef, spec: StepSpec): void {
     const tasks = job.occurrences.get(ref.occurrence)!.steps[ref.step]!;
     const ended = spec.gang ? tasks : [tasks[ref.index]!];
     for (const task of ended) task.phase = 'done';
   }
 
-  #failed(job: JobProgress, ref: TaskRef, task: TaskProgress, spec: StepSpec): void {
+  #countFailure(job: JobProgress, ref: TaskRef, task: TaskProgress, spec: StepSpec): void {
     const tasks = job.occurrences.get(ref.occurrence)?.steps[ref.step] ?? [];
     const counted = spec.gang ? tasks[0]! : task;
     counted.failures += 1;
@@ -163,16 +165,16 @@
   #releaseAbsent(worker: WorkerState, report: WorkerReport, askedMs: number): void {
     const listed = new Set(report.running.map(({ task, run }) => `${task} ${run}`));
     for (const [key, run] of worker.runs) {
-      if (!listed.has(`${key} ${run.run}`) && askedMs > run.settledMs) {
-        this.#state.note('run-absent', { task: key, run: run.run, worker: worker.entry.id });
+      if (!listed.has(`${key} ${run.run}`) && askedMs > run.sendCompletedMs) {
+        this.#state.logEvent('run-absent', { task: key, run: run.run, worker: worker.entry.id });
         this.#state.releaseRun(worker, key, run);
       }
     }
   }
 
-  #pace(worker: WorkerState, nowMs: number): void {
+  #adjustPaces(worker: WorkerState, nowMs: number): void {
     for (const { run, percent } of choosePaces(worker, this.#model, nowMs)) {
-      this.#state.note('pace', {
+      this.#state.logEvent('pace', {
         task: taskName(run.ref),
         run: run.run,
         worker: worker.entry.id,
@@ -195,8 +197,11 @@
   }
 
   /** From now on no earlier node's call takes effect there, so its leases end with the longest. */
-  #fenced(worker: WorkerState, report: WorkerReport, nowMs: number): void {
+  #markFenced(worker: WorkerState, report: WorkerReport, nowMs: number): void {
     Object.assign(worker, { fenced: true, leaseEndMs: nowMs + this.#state.timing.leaseMs });
-    this.#state.note('worker-fenced', { worker: worker.entry.id, running: report.running.length });
+    this.#state.logEvent('worker-fenced', {
+      worker: worker.entry.id,
+      running: report.running.length,
+    });
   }
 }
--- a/packages/jobs/src/internal/round-candidates.ts
+++ b/packages/jobs/src/internal/round-candidates.ts
@@ -7,17 +7,17 @@
 import type { WorkerState } from './worker-state.js';
 
 /** Larger than any difference of scores, so that a place to avoid is the last choice. */
-const AVOID = 1_000_000;
+const AVOID_PENALTY = 1_000_000;
 
 /** What a task is to be placed for. */
-export interface Placing {
+export interface PlacementRequest {
   readonly ref: TaskRef;
   readonly spec: StepSpec;
   /** Where it failed or was lost before; avoided if there is another place. */
   readonly avoid: string;
 }
 
-interface Place {
+interface Candidate {
   readonly worker: WorkerState;
   /** The worker's version when it was looked at. */
   version: number;
@@ -27,50 +27,53 @@
 
 /** The places for tasks of one kind. */
 export class Candidates {
-  readonly #places: readonly Place[];
+  readonly #candidates: readonly Candidate[];
 
-  readonly #look: (worker: WorkerState) => number | Obstacle;
+  readonly #evaluate: (worker: WorkerState) => number | Obstacle;
 
-  #isFull = false;
+  #isExhausted = false;
 
   /** Known until a place is looked at again. */
   #obstacle: Obstacle | undefined;
 
-  constructor(workers: readonly WorkerState[], look: (worker: WorkerState) => number | Obstacle) {
-    this.#look = look;
-    this.#places = workers.map((worker) => ({
+  constructor(
+    workers: readonly WorkerState[],
+    evaluate: (worker: WorkerState) => number | Obstacle,
+  ) {
+    this.#evaluate = evaluate;
+    this.#candidates = workers.map((worker) => ({
       worker,
       version: worker.version,
-      score: look(worker),
+      score: evaluate(worker),
     }));
   }
 
   /** The best of the workers that may take the task now. */
-  choose({ ref, spec, avoid }: Placing): WorkerState | undefined {
-    if (this.#isFull) return undefined;
+  choose({ ref, spec, avoid }: PlacementRequest): WorkerState | undefined {
+    if (this.#isExhausted) return undefined;
     let best: WorkerState | undefined;
     let bestScore = -Infinity;
-    let isFull = true;
-    for (const place of this.#places) {
-      const { worker } = place;
-      if (place.version !== worker.version) this.#lookAgain(place);
-      if (typeof place.score === 'number') {
-        isFull = false;
-        const score = worker.entry.id === avoid ? place.score - AVOID : place.score;
-        if (score > bestScore && hasShare(ref, spec, worker)) {
+    let isExhausted = true;
+    for (const candidate of this.#candidates) {
+      const { worker } = candidate;
+      if (candidate.version !== worker.version) this.#reevaluate(candidate);
+      if (typeof candidate.score === 'number') {
+        isExhausted = false;
+        const score = worker.entry.id === avoid ? candidate.score - AVOID_PENALTY : candidate.score;
+        if (score > bestScore && isBelowMaxPerWorker(ref, spec, worker)) {
           best = worker;
           bestScore = score;
         }
       }
     }
-    this.#isFull = isFull;
+    this.#isExhausted = isExhausted;
     return best;
   }
 
   /** What keeps the tasks from most workers. */
   get obstacle(): Obstacle {
     if (this.#obstacle === undefined) {
-      const scores = this.#places.map(({ score }) => score);
+      const scores = this.#candidates.map(({ score }) => score);
       this.#obstacle = mostFrequent(scores.filter((score) => typeof score !== 'number'));
     }
     return this.#obstacle;
@@ -79,7 +82,7 @@
   /** How many workers each obstacle keeps the tasks from; `open` ones would take one. */
   counts(): Record<string, number> {
     const counts: Record<string, number> = {};
-    for (const { score } of this.#places) {
+    for (const { score } of this.#candidates) {
       const found = typeof score === 'number' ? 'open' : score;
       counts[found] = (counts[found] ?? 0) + 1;
     }
@@ -87,18 +90,22 @@
   }
 
   /** What was placed on trial has been taken back. */
-  roomReturned(): void {
-    this.#isFull = false;
+  capacityReturned(): void {
+    this.#isExhausted = false;
   }
 
-  #lookAgain(place: Place): void {
+  #reevaluate(candidate: Candidate): void {
     this.#obstacle = undefined;
-    place.version = place.worker.version;
-    place.score = this.#look(place.worker);
+    candidate.version = candidate.worker.version;
+    candidate.score = this.#evaluate(candidate.worker);
   }
 }
 
-function hasShare(ref: TaskRef, { maxPerWorker }: StepSpec, worker: WorkerState): boolean {
+function isBelowMaxPerWorker(
+  ref: TaskRef,
+  { maxPerWorker }: StepSpec,
+  worker: WorkerState,
+): boolean {
   return maxPerWorker === 0 || worker.countOf(ref) < maxPerWorker;
 }
 
@@ -109,33 +116,33 @@
  * a takeover; it renewed no lease meanwhile, and was taken for dead.
  */
 export class RoundCandidates {
-  readonly #pools = new Map<string, WorkerState[]>();
+  readonly #workersByPool = new Map<string, WorkerState[]>();
 
   readonly #policy: PlacementPolicy;
 
   readonly #nowMs: number;
 
-  readonly #kinds = new Map<string, Candidates>();
+  readonly #byKind = new Map<string, Candidates>();
 
   constructor(workers: Iterable<WorkerState>, policy: PlacementPolicy, nowMs: number) {
     this.#policy = policy;
     this.#nowMs = nowMs;
     for (const worker of workers) {
-      const pool = this.#pools.get(worker.entry.pool);
+      const pool = this.#workersByPool.get(worker.entry.pool);
       if (pool) pool.push(worker);
-      else this.#pools.set(worker.entry.pool, [worker]);
+      else this.#workersByPool.set(worker.entry.pool, [worker]);
     }
   }
 
   /** The places for tasks of a step in the workers of a pool. */
   of(spec: StepSpec, pool: string, isStarved: boolean): Candidates {
     const key = `${kindOf(spec)} ${pool} ${isStarved}`;
-    const known = this.#kinds.get(key);
+    const known = this.#byKind.get(key);
     if (known) return known;
-    const places = new Candidates(this.#pools.get(pool) ?? [], (worker) =>
-      this.#policy.look(spec, worker, this.#nowMs, isStarved),
+    const candidates = new Candidates(this.#workersByPool.get(pool) ?? [], (worker) =>
+      this.#policy.evaluate(spec, worker, this.#nowMs, isStarved),
     );
-    this.#kinds.set(key, places);
-    return places;
+    this.#byKind.set(key, candidates);
+    return candidates;
   }
 }
--- a/packages/jobs/src/internal/round-limits.ts
+++ b/packages/jobs/src/internal/round-limits.ts
@@ -26,7 +26,7 @@
     this.#untilMs = limits.clockMs() + limits.placingMs;
   }
 
-  started(count: number): void {
+  recordStarts(count: number): void {
     this.#starts += count;
   }
 
--- a/packages/jobs/src/internal/serving-loads.ts
+++ b/packages/jobs/src/internal/serving-loads.ts
@@ -6,10 +6,10 @@
 const STALE_MS = 2_500;
 
 /** The usual slack of a step, until some were observed. */
-const FIRST_USUAL = 1.7;
+const INITIAL_PRIOR_SLACK = 1.7;
 
 /** What one observation adds to the usual slack. */
-const USUAL_SHARE = 0.002;
+const PRIOR_LEARNING_RATE = 0.002;
 
 /**
  * The load of lasting steps that serve callers of their own, as the slack that their tails would
@@ -25,14 +25,14 @@
 
   readonly #period = new CommonPeriod();
 
-  #usualSlack = FIRST_USUAL;
+  #priorSlack = INITIAL_PRIOR_SLACK;
 
   /** One task of the step would have had this slack with nothing beside it. */
   observe(ref: TaskRef, slack: number, nowMs: number): void {
-    this.#usualSlack += (slack - this.#usualSlack) * USUAL_SHARE;
+    this.#priorSlack += (slack - this.#priorSlack) * PRIOR_LEARNING_RATE;
     const load = this.#recent(ref, nowMs);
     if (load) {
-      load.observe(slack, nowMs, this.#usualSlack);
+      load.observe(slack, nowMs, this.#priorSlack);
       return;
     }
     this.#forgetStale(nowMs);
@@ -40,13 +40,13 @@
   }
 
   /** The slack that the step's tails would have now; undefined if nothing recent is known. */
-  now(ref: TaskRef, nowMs: number): number | undefined {
+  currentSlack(ref: TaskRef, nowMs: number): number | undefined {
     return this.#recent(ref, nowMs)?.level;
   }
 
   /** The least slack that the step's tails are expected to have within so many milliseconds. */
-  leastAhead(ref: TaskRef, nowMs: number, aheadMs: number): number | undefined {
-    return this.#recent(ref, nowMs)?.leastAhead(nowMs, aheadMs);
+  minSlackAhead(ref: TaskRef, nowMs: number, aheadMs: number): number | undefined {
+    return this.#recent(ref, nowMs)?.minSlackAhead(nowMs, aheadMs);
   }
 
   #recent(ref: TaskRef, nowMs: number): StepLoad | undefined {
--- a/packages/jobs/src/internal/step-load.ts
+++ b/packages/jobs/src/internal/step-load.ts
@@ -2,25 +2,25 @@
 import { HarmonicFit } from './harmonic-fit.js';
 
 /** How fast the level follows what is measured, in milliseconds: a handful of reports count. */
-const LEVEL_MS = 400;
+const LEVEL_TIME_CONSTANT_MS = 400;
 
 /** The same for the slow level, from whose distance the trend is read. */
-const SLOW_MS = 1_200;
+const SLOW_LEVEL_TIME_CONSTANT_MS = 1_200;
 
 /** So far ahead the trend is drawn out, in milliseconds; further on it misleads. */
-const TREND_MS = 1_000;
+const TREND_HORIZON_MS = 1_000;
 
 /** Reports that come at the same moment count as if they were so far apart, in milliseconds. */
-const LEAST_APART_MS = 20;
+const MIN_SPACING_MS = 20;
 
 /** Observations are gathered for so long before they are fitted, in milliseconds. */
-const GATHER_MS = 200;
+const BATCH_MS = 200;
 
 /** A forecast looks at moments so far apart, in milliseconds. */
-const LOOK_EVERY_MS = 500;
+const FORECAST_STEP_MS = 500;
 
 /** From so many recent observations on, the swing is trusted rather than the trend. */
-const LEAST_OBSERVED = 20;
+const MIN_OBSERVATIONS = 20;
 
 /** The load of one step: its level, its trend and its swing. */
 export class StepLoad {
@@ -35,21 +35,21 @@
   #slowLevel: number;
 
   /** The index of the period that suits best. */
-  #best = 0;
+  #bestPeriod = 0;
 
-  #gathered = 0;
+  #batchCount = 0;
 
-  #sum = 0;
+  #batchSum = 0;
 
-  #gatheredSinceMs: number;
+  #batchStartMs: number;
 
   constructor(slack: number, nowMs: number, period: CommonPeriod) {
     this.#period = period;
     this.#level = slack;
     this.#slowLevel = slack;
     this.#atMs = nowMs;
-    this.#gatheredSinceMs = nowMs;
-    this.#gather(slack);
+    this.#batchStartMs = nowMs;
+    this.#addToBatch(slack);
   }
 
   /** When it was observed last. */
@@ -62,47 +62,49 @@
   }
 
   /** One task of the step would have had this slack with nothing beside it. */
-  observe(slack: number, nowMs: number, usualSlack: number): void {
-    const sinceMs = Math.max(LEAST_APART_MS, nowMs - this.#atMs);
-    this.#level += (slack - this.#level) * (1 - Math.exp(-sinceMs / LEVEL_MS));
-    this.#slowLevel += (slack - this.#slowLevel) * (1 - Math.exp(-sinceMs / SLOW_MS));
+  observe(slack: number, nowMs: number, priorSlack: number): void {
+    const sinceMs = Math.max(MIN_SPACING_MS, nowMs - this.#atMs);
+    this.#level += (slack - this.#level) * (1 - Math.exp(-sinceMs / LEVEL_TIME_CONSTANT_MS));
+    this.#slowLevel +=
+      (slack - this.#slowLevel) * (1 - Math.exp(-sinceMs / SLOW_LEVEL_TIME_CONSTANT_MS));
     this.#atMs = nowMs;
-    this.#gather(slack);
-    if (nowMs - this.#gatheredSinceMs >= GATHER_MS) this.#refit(nowMs, usualSlack);
+    this.#addToBatch(slack);
+    if (nowMs - this.#batchStartMs >= BATCH_MS) this.#refit(nowMs, priorSlack);
   }
 
   /** The least slack that is expected within so many milliseconds. */
-  leastAhead(nowMs: number, aheadMs: number): number {
-    if (this.#fit.weight < LEAST_OBSERVED) return this.#byTrend();
-    let least = Infinity;
-    for (let ms = 0; ms <= aheadMs; ms += LOOK_EVERY_MS) {
-      least = Math.min(least, this.#fit.at(this.#best, nowMs + ms));
+  minSlackAhead(nowMs: number, aheadMs: number): number {
+    if (this.#fit.weight < MIN_OBSERVATIONS) return this.#extrapolateTrend();
+    let minSlack = Infinity;
+    for (let ms = 0; ms <= aheadMs; ms += FORECAST_STEP_MS) {
+      minSlack = Math.min(minSlack, this.#fit.at(this.#bestPeriod, nowMs + ms));
     }
-    return least;
+    return minSlack;
   }
 
-  #byTrend(): number {
-    const slope = (this.#level - this.#slowLevel) / (SLOW_MS - LEVEL_MS);
+  #extrapolateTrend(): number {
+    const slope =
+      (this.#level - this.#slowLevel) / (SLOW_LEVEL_TIME_CONSTANT_MS - LEVEL_TIME_CONSTANT_MS);
     // The level itself lags by about its own time.
-    return this.#level + Math.min(0, slope) * (TREND_MS + LEVEL_MS);
+    return this.#level + Math.min(0, slope) * (TREND_HORIZON_MS + LEVEL_TIME_CONSTANT_MS);
   }
 
-  #gather(slack: number): void {
-    this.#gathered += 1;
-    this.#sum += slack;
+  #addToBatch(slack: number): void {
+    this.#batchCount += 1;
+    this.#batchSum += slack;
   }
 
-  #refit(nowMs: number, usualSlack: number): void {
-    const atMs = (this.#gatheredSinceMs + nowMs) / 2;
+  #refit(nowMs: number, priorSlack: number): void {
+    const atMs = (this.#batchStartMs + nowMs) / 2;
     this.#fit.observe(
-      { value: this.#sum / this.#gathered, weight: this.#gathered, atMs },
-      usualSlack,
+      { value: this.#batchSum / this.#batchCount, weight: this.#batchCount, atMs },
+      priorSlack,
     );
-    this.#gathered = 0;
-    this.#sum = 0;
-    this.#gatheredSinceMs = nowMs;
+    this.#batchCount = 0;
+    this.#batchSum = 0;
+    this.#batchStartMs = nowMs;
     const errors = this.#fit.errors();
-    if (this.#fit.weight >= LEAST_OBSERVED) this.#period.learn(errors);
-    this.#best = this.#period.best(errors);
+    if (this.#fit.weight >= MIN_OBSERVATIONS) this.#period.learn(errors);
+    this.#bestPeriod = this.#period.best(errors);
   }
 }
--- a/packages/jobs/src/internal/step-rotation.ts
+++ b/packages/jobs/src/internal/step-rotation.ts
@@ -1,4 +1,4 @@
-import { OVERDUE } from './idle-jobs.js';
+import { STARVED_RANK } from './idle-jobs.js';
 import type { WaitingStep } from './waiting-steps.js';
 
 /**
@@ -17,7 +17,7 @@
   /** The steps, most urgent first, in the order of their turns. */
   inOrder(steps: readonly WaitingStep[]): readonly WaitingStep[] {
     const isFirst = (step: WaitingStep): boolean =>
-      step.rank <= OVERDUE || !this.#tried.has(keyOf(step));
+      step.rank <= STARVED_RANK || !this.#tried.has(keyOf(step));
     const first = this.#tried.size > 0 ? steps.filter(isFirst) : steps;
     this.#untriedCount = first.length;
     if (first.length === steps.length) return steps;
@@ -28,17 +28,17 @@
    * The round ran out of time after so many steps, of which some found no place. Returns whether
    * any is left that was not tried.
    */
-  cutShort(count: number, placeless: readonly WaitingStep[]): boolean {
+  cutShort(count: number, unplaced: readonly WaitingStep[]): boolean {
     if (count >= this.#untriedCount) {
       this.#tried.clear();
       return false;
     }
-    for (const step of placeless) this.#tried.add(keyOf(step));
+    for (const step of unplaced) this.#tried.add(keyOf(step));
     return true;
   }
 
   /** Every step had its turn, or the time was spent on starts. */
-  beginAnew(): void {
+  restart(): void {
     this.#tried.clear();
   }
 }
--- a/packages/jobs/src/internal/step-waits.ts
+++ b/packages/jobs/src/internal/step-waits.ts
@@ -2,13 +2,13 @@
 import type { Obstacle, WaitCause } from './obstacle.js';
 
 /** What keeps a step waiting is looked up no more often than this, in milliseconds. */
-const LOOK_AGAIN_MS = 500;
+const RECHECK_INTERVAL_MS = 500;
 
 /** The wait of a step that has tasks to start. */
 interface StepWait {
   readonly sinceMs: number;
   cause: WaitCause;
-  lookedMs: number;
+  checkedMs: number;
 }
 
 /** How long steps have had tasks to start, and what kept these from workers. */
@@ -18,21 +18,21 @@
   /** The step is among those that wait in this round. */
   waiting(tasks: readonly TaskProgress[], nowMs: number): void {
     if (this.#waits.has(tasks)) return;
-    this.#waits.set(tasks, { sinceMs: nowMs, cause: 'none', lookedMs: -Infinity });
+    this.#waits.set(tasks, { sinceMs: nowMs, cause: 'none', checkedMs: -Infinity });
   }
 
   /** The limits of the round left it no turn. */
-  leftOut(tasks: readonly TaskProgress[]): void {
+  skipped(tasks: readonly TaskProgress[]): void {
     const wait = this.#waits.get(tasks);
     if (wait?.cause === 'none') wait.cause = 'limits';
   }
 
   /** A task of it found no place. */
-  placeless(tasks: readonly TaskProgress[], look: () => Obstacle, nowMs: number): void {
+  unplaced(tasks: readonly TaskProgress[], findObstacle: () => Obstacle, nowMs: number): void {
     const wait = this.#waits.get(tasks);
-    if (!wait || nowMs - wait.lookedMs < LOOK_AGAIN_MS) return;
-    wait.cause = look();
-    wait.lookedMs = nowMs;
+    if (!wait || nowMs - wait.checkedMs < RECHECK_INTERVAL_MS) return;
+    wait.cause = findObstacle();
+    wait.checkedMs = nowMs;
   }
 
   /** All of its tasks have places. */
--- a/packages/jobs/src/internal/stop-reason.ts
+++ b/packages/jobs/src/internal/stop-reason.ts
@@ -24,7 +24,7 @@
   | 'halted';
 
 /** Processor time of a run that its next start does not find in a checkpoint, in milliseconds. */
-export function lostCpuMs({ spec, seen, savedMs }: WorkerRun, nowMs: number): number {
-  if (!seen || spec.lasting) return 0;
-  return Math.round((spec.cpuMilli / 1_000) * (nowMs - savedMs));
+export function lostCpuMs({ spec, confirmed, checkpointedMs }: WorkerRun, nowMs: number): number {
+  if (!confirmed || spec.lasting) return 0;
+  return Math.round((spec.cpuMilli / 1_000) * (nowMs - checkpointedMs));
 }
--- a/packages/jobs/src/internal/stop-rules.ts
+++ b/packages/jobs/src/internal/stop-rules.ts
@@ -1,7 +1,7 @@
 import { isFinal } from '../job.js';
 import type { JobProgress } from '../job-progress.js';
 import type { ClusterState } from './cluster-state.js';
-import { mustLeave } from './evacuation.js';
+import { mustEvacuate } from './evacuation.js';
 import { findTask } from './runs.js';
 import type { StopReason } from './stop-reason.js';
 import type { WorkerRun, WorkerState } from './worker-state.js';
@@ -16,14 +16,14 @@
 
   /** Why the run is to be stopped; undefined where it may go on. */
   reason(worker: WorkerState, run: WorkerRun, nowMs: number): StopReason | undefined {
-    const reason = this.unwanted(worker, run);
+    const reason = this.unwantedReason(worker, run);
     if (reason) return reason;
-    return mustLeave(worker, run, nowMs) ? 'worker-leaves' : undefined;
+    return mustEvacuate(worker, run, nowMs) ? 'worker-leaves' : undefined;
   }
 
   /** Why no job asks for the run, there or anywhere; undefined where one does. */
-  unwanted(worker: WorkerState, run: WorkerRun): StopReason | undefined {
-    if (this.#state.isUntold(run.ref.jobId)) return undefined;
+  unwantedReason(worker: WorkerState, run: WorkerRun): StopReason | undefined {
+    if (this.#state.isUnloaded(run.ref.jobId)) return undefined;
     const job = this.#state.jobs.get(run.ref.jobId);
     if (!job) return 'unknown-job';
     if (isFinal(job.state)) return job.state;
--- a/packages/jobs/src/internal/tail-latency-model.ts
+++ b/packages/jobs/src/internal/tail-latency-model.ts
@@ -1,4 +1,4 @@
-import { fillParts } from './best-effort-parts.js';
+import { usedParts } from './best-effort-parts.js';
 import { InterferenceModel, slackOf } from './interference-model.js';
 import { ServingLoads } from './serving-loads.js';
 import type { WorkerRun, WorkerState } from './worker-state.js';
@@ -14,30 +14,30 @@
 
   /** Takes in what a worker has just reported of its runs. */
   learn(worker: WorkerState, nowMs: number): void {
-    const parts = fillParts(worker);
+    const parts = usedParts(worker);
     for (const run of worker.runs.values()) {
-      if (hasTail(run)) {
+      if (hasTailLatency(run)) {
         const { image } = run.spec;
         const slack = measuredSlack(run);
         this.loads.observe(run.ref, slack + this.interference.lostSlack(image, parts), nowMs);
-        const ownSlack = this.loads.now(run.ref, nowMs)!;
-        this.interference.learn({ image, slack: slack - ownSlack, parts });
+        const baselineSlack = this.loads.currentSlack(run.ref, nowMs)!;
+        this.interference.learn({ image, slack: slack - baselineSlack, parts });
       }
     }
   }
 
   /** The least slack that a serving run is about to have with nothing beside it. */
-  ownSlack(run: WorkerRun, worker: WorkerState, nowMs: number, aheadMs: number): number {
-    const least = this.loads.leastAhead(run.ref, nowMs, aheadMs);
-    if (least !== undefined) return least;
-    if (!hasTail(run)) return UNMEASURED_SLACK;
-    return measuredSlack(run) + this.interference.lostSlack(run.spec.image, fillParts(worker));
+  baselineSlack(run: WorkerRun, worker: WorkerState, nowMs: number, aheadMs: number): number {
+    const minSlack = this.loads.minSlackAhead(run.ref, nowMs, aheadMs);
+    if (minSlack !== undefined) return minSlack;
+    if (!hasTailLatency(run)) return UNMEASURED_SLACK;
+    return measuredSlack(run) + this.interference.lostSlack(run.spec.image, usedParts(worker));
   }
 }
 
 /** Whether the run has a tail to go by: one that starts up has none of its own yet. */
-export function hasTail({ spec, seen, percent, measure }: WorkerRun): boolean {
-  return spec.targetMs > 0 && seen && percent === 100 && measure > 0;
+export function hasTailLatency({ spec, confirmed, percent, measure }: WorkerRun): boolean {
+  return spec.targetMs > 0 && confirmed && percent === 100 && measure > 0;
 }
 
 function measuredSlack({ measure, spec }: WorkerRun): number {
--- a/packages/jobs/src/internal/task-placer.ts
+++ b/packages/jobs/src/internal/task-placer.ts
@@ -10,7 +10,7 @@
 import type { HaltedRun } from './halted-runs.js';
 import { haltedRuns } from './halted-runs.js';
 import { CapacityHold } from './capacity-hold.js';
-import { IdleJobs, OVERDUE, OWED } from './idle-jobs.js';
+import { IdleJobs, STARVED_RANK, CATCH_UP_RANK } from './idle-jobs.js';
 import type { PlacementPolicy } from './placement.js';
 import { StepRotation } from './step-rotation.js';
 import type { Candidates } from './round-candidates.js';
@@ -20,7 +20,7 @@
 import { newRun } from './runs.js';
 import { StepWaits } from './step-waits.js';
 import type { WaitingStep } from './waiting-steps.js';
-import { IN_TIME, byUrgency, waitingStepsOf } from './waiting-steps.js';
+import { IN_TIME_RANK, byUrgency, waitingStepsOf } from './waiting-steps.js';
 import type { WorkerState } from './worker-state.js';
 
 /**
@@ -31,10 +31,10 @@
 type StepOutcome = 'placed' | 'placeless' | 'cut-short';
 
 /** While less of the processors is reserved, tasks that work slowly do not stand in the way of others. */
-const SLOW_PLACES_BELOW = 0.5;
+const SLOW_PLACEMENT_BELOW = 0.5;
 
 /** A job whose tasks are all halted for so long is to go on elsewhere, in milliseconds. */
-const HALTED_MS = 1_000;
+const MOVE_HALTED_AFTER_MS = 1_000;
 
 /** Gives waiting tasks to workers. */
 export class TaskPlacer {
@@ -42,25 +42,25 @@
 
   readonly #placement: PlacementPolicy;
 
-  readonly #turns = new StepRotation();
+  readonly #rotation = new StepRotation();
 
   readonly #waits = new StepWaits();
 
   readonly #idle = new IdleJobs();
 
-  readonly #held = new CapacityHold();
+  readonly #hold = new CapacityHold();
 
   /** Overdue steps of this round without a place, since the last start. */
-  readonly #overduePlaceless: WaitingStep[] = [];
+  readonly #starvedUnplaced: WaitingStep[] = [];
 
   /** By job: its runs that may not work where they are, as of this round. */
   #halted: ReadonlyMap<string, HaltedRun[]> = new Map();
 
   /** How many jobs are idle, by the lane of their first step, as of this round. */
-  readonly #idleByLane = new Map<string, number>();
+  readonly #idleByClass = new Map<string, number>();
 
   /** In the last round a job that could still end in time found no place. */
-  #isShort = false;
+  #isCapacityShort = false;
 
   constructor(state: ClusterState, placement: PlacementPolicy) {
     this.#state = state;
@@ -72,9 +72,9 @@
    * ended it while there may be room for more.
    */
   placeAll(nowMs: number, limits: RoundLimits): boolean {
-    const isCutShort = this.#place(nowMs, limits);
-    this.#overduePlaceless.length = 0;
-    this.#holdRoom(nowMs);
+    const isCutShort = this.#placeWaiting(nowMs, limits);
+    this.#starvedUnplaced.length = 0;
+    this.#holdCapacity(nowMs);
     return isCutShort;
   }
 
@@ -82,9 +82,9 @@
    * A job that an earlier node has left: with nothing at work it is idle since then. Between two
    * occurrences it has nothing to start either.
    */
-  assumeIdle(job: JobProgress, sinceMs: number): void {
+  restoreIdle(job: JobProgress, sinceMs: number): void {
     const hasWork = !job.spec.schedule && !isFinal(job.state);
-    if (sinceMs < Infinity && hasWork && !job.hasBound()) this.#idle.assume(job, sinceMs);
+    if (sinceMs < Infinity && hasWork && !job.hasBoundTasks()) this.#idle.markIdle(job, sinceMs);
   }
 
   /** As of the newest round. */
@@ -101,45 +101,46 @@
 
   /** By lane with too many idle jobs: when callers may come back; as of the newest round. */
   retryAfter(nowMs: number): RetryAfter {
-    return this.#state.turnWaits.tooLong(this.#idleByLane, this.#idle.allowance, nowMs);
+    return this.#state.idleWaits.retryAfter(this.#idleByClass, this.#idle.allowance, nowMs);
   }
 
-  #place(nowMs: number, limits: RoundLimits): boolean {
+  #placeWaiting(nowMs: number, limits: RoundLimits): boolean {
     this.#halted = haltedRuns(this.#state.workers.values());
-    const waiting = this.#turns.inOrder([...this.#waitingSteps(nowMs)].sort(byUrgency));
+    const waiting = this.#rotation.inOrder([...this.#waitingSteps(nowMs)].sort(byUrgency));
     // From here on: with thousands of waiting steps the sorting takes its time as well.
     const budget = new RoundBudget(limits);
     this.#placeHeld(budget, nowMs);
-    const places = new RoundCandidates(this.#openWorkers(), this.#placement, nowMs);
-    const placeless: WaitingStep[] = [];
-    const hasMuchRoom = !this.#isShort && this.#state.reservedShare() < SLOW_PLACES_BELOW;
-    this.#isShort = false;
+    const roundCandidates = new RoundCandidates(this.#availableWorkers(), this.#placement, nowMs);
+    const unplaced: WaitingStep[] = [];
+    const hasAmpleCapacity =
+      !this.#isCapacityShort && this.#state.reservedShare() < SLOW_PLACEMENT_BELOW;
+    this.#isCapacityShort = false;
     for (const { tasks } of waiting) this.#waits.waiting(tasks, nowMs);
     for (const [count, step] of waiting.entries()) {
       // One step at least is tried, however late it is.
-      const mayGoOn = budget.hasStarts && (count === 0 || budget.hasTime);
-      if (!mayGoOn) {
-        for (const { tasks } of waiting.slice(count)) this.#waits.leftOut(tasks);
-        return this.#cutShort(budget, count, placeless);
+      const mayContinue = budget.hasStarts && (count === 0 || budget.hasTime);
+      if (!mayContinue) {
+        for (const { tasks } of waiting.slice(count)) this.#waits.skipped(tasks);
+        return this.#cutShort(budget, count, unplaced);
       }
-      const isSlow = this.#mayWorkSlowly(step, hasMuchRoom, nowMs);
-      const ofKind = places.of(step.spec, step.queue.pool, isSlow);
-      const outcome = this.#placeStep(step, ofKind, budget, nowMs);
-      if (outcome === 'placed' && step.most === Infinity) this.#waits.placed(step.tasks);
+      const mayRunSlowly = this.#mayRunSlowly(step, hasAmpleCapacity, nowMs);
+      const candidates = roundCandidates.of(step.spec, step.queue.pool, mayRunSlowly);
+      const outcome = this.#placeStep(step, candidates, budget, nowMs);
+      if (outcome === 'placed' && step.maxTasks === Infinity) this.#waits.placed(step.tasks);
       if (outcome === 'placeless') {
-        placeless.push(step);
-        this.#isShort ||= step.rank === IN_TIME;
-        if (step.rank === OVERDUE) this.#overduePlaceless.push(step);
-        this.#waits.placeless(step.tasks, () => ofKind.obstacle, nowMs);
-        this.#noteIdle(step.job, step.spec, ofKind, nowMs);
+        unplaced.push(step);
+        this.#isCapacityShort ||= step.rank === IN_TIME_RANK;
+        if (step.rank === STARVED_RANK) this.#starvedUnplaced.push(step);
+        this.#waits.unplaced(step.tasks, () => candidates.obstacle, nowMs);
+        this.#logIdle(step.job, step.spec, candidates, nowMs);
       }
       if (outcome === 'cut-short') {
-        this.#cutShort(budget, count, placeless);
+        this.#cutShort(budget, count, unplaced);
         return true;
       }
     }
-    this.#turns.beginAnew();
-    this.#stopHalted(places, nowMs);
+    this.#rotation.restart();
+    this.#stopHalted(roundCandidates, nowMs);
     return false;
   }
 
@@ -147,31 +148,31 @@
    * Stops one run of each job whose runs are all halted, where another worker has a place for it:
    * halted beside a serving task that stays near its target, it would hold its job up for good.
    */
-  #stopHalted(places: RoundCandidates, nowMs: number): void {
+  #stopHalted(roundCandidates: RoundCandidates, nowMs: number): void {
     for (const [jobId, halted] of this.#halted) {
       const job = this.#state.jobs.get(jobId);
       const queue = job && this.#state.queues.get(job.spec.queue);
       if (queue && this.#idle.idleMs(job, nowMs) !== undefined) {
-        const moved = halted.find((found) => canMove(found, places, queue.pool, nowMs));
-        if (moved) this.#state.stopRun(moved.worker, moved.run, 'halted', nowMs);
+        const toStop = halted.find((found) => canMove(found, roundCandidates, queue.pool, nowMs));
+        if (toStop) this.#state.stopRun(toStop.worker, toStop.run, 'halted', nowMs);
         const { spec } = halted[0]!.run;
-        this.#noteIdle(job, spec, places.of(spec, queue.pool, true), nowMs);
+        this.#logIdle(job, spec, roundCandidates.of(spec, queue.pool, true), nowMs);
       }
     }
   }
 
   /** Tells of a job that is idle for long what keeps it from how many workers. */
-  #noteIdle(job: JobProgress, spec: StepSpec, places: Candidates, nowMs: number): void {
-    if (!this.#idle.isNewlyIdle(job, nowMs)) return;
-    this.#state.note('job-idle', {
+  #logIdle(job: JobProgress, spec: StepSpec, candidates: Candidates, nowMs: number): void {
+    if (!this.#idle.shouldLogIdle(job, nowMs)) return;
+    this.#state.logEvent('job-idle', {
       job: job.spec.id,
       idleMs: Math.round(this.#idle.idleMs(job, nowMs) ?? 0),
       halted: this.#halted.get(job.spec.id)?.length ?? 0,
       cpuMilli: spec.cpuMilli,
       fills: spec.fills,
-      isShort: this.#isShort,
+      isShort: this.#isCapacityShort,
       ...this.#state.usage(),
-      ...places.counts(),
+      ...candidates.counts(),
     });
   }
 
@@ -179,81 +180,82 @@
    * Without those that run what is not told yet: how much room it takes there is not known. Nor the
    * one on which room is held.
    */
-  *#openWorkers(): Generator<WorkerState> {
+  *#availableWorkers(): Generator<WorkerState> {
     for (const worker of this.#state.workers.values()) {
-      const runs = this.#state.isWhole ? [] : [...worker.runs.values()];
-      const isTold = !runs.some(({ ref }) => this.#state.isUntold(ref.jobId));
-      if (isTold && worker !== this.#held.worker) yield worker;
+      const runs = this.#state.isFullyLoaded ? [] : [...worker.runs.values()];
+      const isLoadKnown = !runs.some(({ ref }) => this.#state.isUnloaded(ref.jobId));
+      if (isLoadKnown && worker !== this.#hold.worker) yield worker;
     }
   }
 
   /** A task was started; overdue jobs that found no place before it were passed over. */
   #started(step: WaitingStep, nowMs: number): void {
-    this.#idle.started(step.job, step.rank === OVERDUE);
-    for (const other of this.#overduePlaceless.splice(0)) {
+    this.#idle.started(step.job, step.rank === STARVED_RANK);
+    for (const other of this.#starvedUnplaced.splice(0)) {
       this.#idle.passedOver(other.job, nowMs);
       // Best-effort tasks reserve no processors, and a gang needs room on several workers.
-      if (!other.spec.gang && !other.spec.fills) this.#held.add(other);
+      if (!other.spec.gang && !other.spec.fills) this.#hold.add(other);
     }
   }
 
-  #holdRoom(nowMs: number): void {
-    const lackRoom = ({ spec, queue }: WaitingStep): WorkerState[] =>
+  #holdCapacity(nowMs: number): void {
+    const workersLackingCapacity = ({ spec, queue }: WaitingStep): WorkerState[] =>
       [...this.#state.workers.values()].filter(
         (worker) =>
-          worker.entry.pool === queue.pool && this.#placement.look(spec, worker, nowMs) === 'room',
+          worker.entry.pool === queue.pool &&
+          this.#placement.evaluate(spec, worker, nowMs) === 'room',
       );
-    if (!this.#held.begin(lackRoom, nowMs)) return;
-    const { job, spec } = this.#held.step!;
+    if (!this.#hold.start(workersLackingCapacity, nowMs)) return;
+    const { job, spec } = this.#hold.step!;
     const { cpuMilli, memMb, gpus } = spec;
-    const worker = this.#held.worker!.entry.id;
-    this.#state.note('room-held', { job: job.spec.id, worker, cpuMilli, memMb, gpus });
+    const worker = this.#hold.worker!.entry.id;
+    this.#state.logEvent('room-held', { job: job.spec.id, worker, cpuMilli, memMb, gpus });
   }
 
   /** Starts the task for which room is held, if there is enough by now. */
   #placeHeld(budget: RoundBudget, nowMs: number): void {
-    this.#held.review(nowMs);
-    const { step, worker } = this.#held;
+    this.#hold.releaseStale(nowMs);
+    const { step, worker } = this.#hold;
     if (!step || !worker) return;
     // Since the room is held the worker may have gone, or the queue may go to another pool.
     const isKnown = this.#state.workers.get(worker.entry.id) === worker;
     if (!isKnown || this.#state.queues.get(step.queue.name)?.pool !== worker.entry.pool) {
-      this.#held.end();
+      this.#hold.end();
       return;
     }
-    if (!budget.hasStarts || !this.#state.isWhole) return;
-    const places = new RoundCandidates([worker], this.#placement, nowMs);
-    const ofKind = places.of(step.spec, step.queue.pool, step.spec.fills);
-    if (this.#placeTasks(step, ofKind, budget, nowMs) === 'placed') this.#held.end();
+    if (!budget.hasStarts || !this.#state.isFullyLoaded) return;
+    const roundCandidates = new RoundCandidates([worker], this.#placement, nowMs);
+    const candidates = roundCandidates.of(step.spec, step.queue.pool, step.spec.fills);
+    if (this.#placeTasks(step, candidates, budget, nowMs) === 'placed') this.#hold.end();
   }
 
   /** Returns whether any step is left that was not tried. */
-  #cutShort(budget: RoundBudget, count: number, placeless: readonly WaitingStep[]): boolean {
-    if (budget.hasStarts) return this.#turns.cutShort(count, placeless);
-    this.#turns.beginAnew();
+  #cutShort(budget: RoundBudget, count: number, unplaced: readonly WaitingStep[]): boolean {
+    if (budget.hasStarts) return this.#rotation.cutShort(count, unplaced);
+    this.#rotation.restart();
     return true;
   }
 
   *#waitingSteps(nowMs: number): Generator<WaitingStep> {
-    this.#idle.beginRound(this.#state.reservedShare());
-    this.#idleByLane.clear();
-    const overdue = new Map<JobProgress, WaitingStep[]>();
+    this.#idle.startRound(this.#state.reservedShare());
+    this.#idleByClass.clear();
+    const starved = new Map<JobProgress, WaitingStep[]>();
     for (const job of this.#state.jobs.values()) {
       if (!isFinal(job.state)) {
         const steps = [...this.#stepsOf(job)];
         yield* steps;
         const haltedCount = this.#halted.get(job.spec.id)?.length ?? 0;
         if (steps.length > 0 || haltedCount > 0) {
-          this.#idle.look(job, haltedCount, nowMs);
-          if (this.#idle.isOverdue(job, nowMs)) overdue.set(job, steps);
+          this.#idle.update(job, haltedCount, nowMs);
+          if (this.#idle.isStarved(job, nowMs)) starved.set(job, steps);
           if (this.#idle.idleMs(job, nowMs) !== undefined) yield* this.#idleSteps(steps);
         }
       }
     }
-    for (const job of this.#idle.turnsOf([...overdue.keys()])) {
-      for (const step of overdue.get(job)!) {
-        const orderMs = this.#idle.turnMs(job);
-        if (step.rank > OVERDUE) yield { ...step, rank: OVERDUE, orderMs, most: 1 };
+    for (const job of this.#idle.withPriorityStart([...starved.keys()])) {
+      for (const step of starved.get(job)!) {
+        const sortMs = this.#idle.queuedSinceMs(job);
+        if (step.rank > STARVED_RANK) yield { ...step, rank: STARVED_RANK, sortMs, maxTasks: 1 };
       }
     }
   }
@@ -269,38 +271,42 @@
   *#idleSteps([first]: readonly WaitingStep[]): Generator<WaitingStep> {
     if (!first) return;
     const { job, queue, spec, rank } = first;
-    const lane = capacityClassOf(queue.pool, spec.fills);
-    this.#idleByLane.set(lane, (this.#idleByLane.get(lane) ?? 0) + 1);
-    if (!spec.fills || rank <= OWED) return;
-    yield { ...first, rank: OWED, orderMs: this.#idle.turnMs(job), most: 1 };
+    const capacityClass = capacityClassOf(queue.pool, spec.fills);
+    this.#idleByClass.set(capacityClass, (this.#idleByClass.get(capacityClass) ?? 0) + 1);
+    if (!spec.fills || rank <= CATCH_UP_RANK) return;
+    yield { ...first, rank: CATCH_UP_RANK, sortMs: this.#idle.queuedSinceMs(job), maxTasks: 1 };
   }
 
   /**
    * Whether a task may go where it works slowly: of a job that found no other place since it is
    * overdue, and with much room of any idle one. The tasks beside it are slowed down as well.
    */
-  #mayWorkSlowly({ job, spec, rank }: WaitingStep, hasMuchRoom: boolean, nowMs: number): boolean {
+  #mayRunSlowly(
+    { job, spec, rank }: WaitingStep,
+    hasAmpleCapacity: boolean,
+    nowMs: number,
+  ): boolean {
     if (!spec.fills) return false;
-    if (hasMuchRoom && (rank === OVERDUE || rank === OWED)) return true;
-    return rank === OVERDUE && this.#idle.isLongOverdue(job, nowMs);
+    if (hasAmpleCapacity && (rank === STARVED_RANK || rank === CATCH_UP_RANK)) return true;
+    return rank === STARVED_RANK && this.#idle.isLongStarved(job, nowMs);
   }
 
   #placeStep(
     step: WaitingStep,
-    places: Candidates,
+    candidates: Candidates,
     budget: RoundBudget,
     nowMs: number,
   ): StepOutcome {
     // Its tasks stand once more in the usual order.
-    if (step.rank === OVERDUE && !this.#idle.mayStart(step.job)) return 'placed';
+    if (step.rank === STARVED_RANK && !this.#idle.mayStart(step.job)) return 'placed';
     return step.spec.gang
-      ? this.#placeGang(step, places, budget, nowMs)
-      : this.#placeTasks(step, places, budget, nowMs);
+      ? this.#placeGang(step, candidates, budget, nowMs)
+      : this.#placeTasks(step, candidates, budget, nowMs);
   }
 
   #placeTasks(
     step: WaitingStep,
-    places: Candidates,
+    candidates: Candidates,
     budget: RoundBudget,
     nowMs: number,
   ): StepOutcome {
@@ -310,14 +316,14 @@
       if (task.phase === 'waiting') {
         if (started > 0 && !(budget.hasStarts && budget.hasTime)) return 'cut-short';
         const ref = { ...step.ref, index };
-        const worker = places.choose({ ref, spec: step.spec, avoid: task.worker });
+        const worker = candidates.choose({ ref, spec: step.spec, avoid: task.worker });
         // The tasks of a step are alike: where one finds no place, the next finds none either.
         if (!worker) return 'placeless';
         this.#bind(step, ref, task, worker, task.run + 1, nowMs);
-        budget.started(1);
+        budget.recordStarts(1);
         this.#started(step, nowMs);
         started += 1;
-        if (started === step.most) return 'placed';
+        if (started === step.maxTasks) return 'placed';
       }
     }
     return 'placed';
@@ -326,7 +332,7 @@
   /** All members or none: a part of a gang would hold its room and wait in vain. */
   #placeGang(
     step: WaitingStep,
-    places: Candidates,
+    candidates: Candidates,
     budget: RoundBudget,
     nowMs: number,
   ): StepOutcome {
@@ -336,13 +342,13 @@
     for (let index = 0; index < step.tasks.length; index += 1) {
       const ref = { ...step.ref, index };
       const avoid = step.tasks[index]!.worker;
-      const worker = places.choose({ ref, spec: step.spec, avoid });
+      const worker = candidates.choose({ ref, spec: step.spec, avoid });
       if (!worker) break;
       worker.add(taskName(ref), newRun(ref, { run, checkpoint: '' }, step.spec, nowMs));
       placed.push([ref, worker]);
     }
     for (const [ref, worker] of placed) worker.remove(taskName(ref));
-    if (placed.length > 0) places.roomReturned();
+    if (placed.length > 0) candidates.capacityReturned();
     if (placed.length < step.tasks.length) return 'placeless';
     const { checkpoint } = step.tasks[0]!;
     for (const [ref, worker] of placed) {
@@ -350,7 +356,7 @@
       task.checkpoint = checkpoint;
       this.#bind(step, ref, task, worker, run, nowMs);
     }
-    budget.started(placed.length);
+    budget.recordStarts(placed.length);
     this.#started(step, nowMs);
     return 'placed';
   }
@@ -365,7 +371,7 @@
   ): void {
     Object.assign(task, { phase: 'bound', run, worker: worker.entry.id });
     worker.add(taskName(ref), newRun(ref, task, spec, nowMs));
-    job.begin();
+    job.markRunning();
     this.#state.changed.add(job);
     this.#state.orders.push({
       kind: 'start',
@@ -375,7 +381,7 @@
       payload: job.spec.payload,
       checkpoint: task.checkpoint,
     });
-    this.#state.note('bound', {
+    this.#state.logEvent('bound', {
       task: taskName(ref),
       run,
       worker: worker.entry.id,
@@ -389,11 +395,14 @@
 /** Whether a run that is halted for some time could go on elsewhere. */
 function canMove(
   { worker, run }: HaltedRun,
-  places: RoundCandidates,
+  roundCandidates: RoundCandidates,
   pool: string,
   nowMs: number,
 ): boolean {
-  if (run.spec.gang || run.stopSentMs > 0 || nowMs - run.movedMs < HALTED_MS) return false;
-  const place = places.of(run.spec, pool, true).choose({ ...run, avoid: worker.entry.id });
-  return place !== undefined && place !== worker;
+  if (run.spec.gang || run.stopSentMs > 0 || nowMs - run.progressedMs < MOVE_HALTED_AFTER_MS)
+    return false;
+  const target = roundCandidates
+    .of(run.spec, pool, true)
+    .choose({ ...run, avoid: worker.entry.id });
+  return target !== undefined && target !== worker;
 }
--- a/packages/jobs/src/internal/urgency.ts
+++ b/packages/jobs/src/internal/urgency.ts
@@ -1,7 +1,7 @@
 import type { JobSpec, QueuePolicy } from '../job.js';
 
 /** An end later than this many times the objective is worth nothing to the caller. */
-const WORTHLESS = 3;
+const WORTHLESS_FACTOR = 3;
 
 /**
  * How much a caller still gets from work on a job now.
@@ -12,26 +12,26 @@
  */
 export type Feasibility = 0 | 1 | 2;
 
-const tailsOf = new WeakMap<JobSpec, readonly number[]>();
+const knownPaths = new WeakMap<JobSpec, readonly number[]>();
 
 /** By step: the estimated time from its start to the job's end along the longest chain. */
-export function chainTails(spec: JobSpec): readonly number[] {
-  const known = tailsOf.get(spec);
+export function criticalPathsMs(spec: JobSpec): readonly number[] {
+  const known = knownPaths.get(spec);
   if (known) return known;
-  const tails = spec.steps.map(({ estimateMs }) => estimateMs);
+  const paths = spec.steps.map(({ estimateMs }) => estimateMs);
   for (let step = spec.steps.length - 1; step >= 0; step -= 1) {
     for (const earlier of spec.steps[step]!.after) {
-      const through = spec.steps[earlier]!.estimateMs + tails[step]!;
-      tails[earlier] = Math.max(tails[earlier]!, through);
+      const pathMs = spec.steps[earlier]!.estimateMs + paths[step]!;
+      paths[earlier] = Math.max(paths[earlier]!, pathMs);
     }
   }
-  tailsOf.set(spec, tails);
-  return tails;
+  knownPaths.set(spec, paths);
+  return paths;
 }
 
 /** How long the job may take from its acceptance (or its due time), in milliseconds. */
 export function objectiveMs(spec: JobSpec, { stretch, targetLatencyMs }: QueuePolicy): number {
-  return stretch * Math.max(0, ...chainTails(spec)) + targetLatencyMs;
+  return stretch * Math.max(0, ...criticalPathsMs(spec)) + targetLatencyMs;
 }
 
 /** What is left for a job that must still do a step and all that follows it. */
@@ -39,12 +39,12 @@
   spec: JobSpec,
   queue: QueuePolicy,
   step: number,
-  sinceMs: number,
+  requestedMs: number,
   timeOfDayMs: number,
 ): Feasibility {
   if (spec.steps[step]!.lasting) return 0;
-  const endMs = timeOfDayMs + chainTails(spec)[step]!;
+  const endMs = timeOfDayMs + criticalPathsMs(spec)[step]!;
   const objective = objectiveMs(spec, queue);
-  if (endMs <= sinceMs + objective) return 0;
-  return endMs <= sinceMs + WORTHLESS * objective ? 1 : 2;
+  if (endMs <= requestedMs + objective) return 0;
+  return endMs <= requestedMs + WORTHLESS_FACTOR * objective ? 1 : 2;
 }
--- a/packages/jobs/src/internal/waiting-steps.ts
+++ b/packages/jobs/src/internal/waiting-steps.ts
@@ -18,10 +18,10 @@
 export type Rank = 0 | 1 | 2 | 3 | 4 | 5 | 6;
 
 /** The rank of steps of jobs that can still end in time. */
-export const IN_TIME: Rank = 2;
+export const IN_TIME_RANK: Rank = 2;
 
 /** The rank of a short job by what it can still attain. */
-const RANKS: readonly Rank[] = [IN_TIME, 5, 6];
+const RANK_BY_FEASIBILITY: readonly Rank[] = [IN_TIME_RANK, 5, 6];
 
 /** A step with tasks that could be started now. */
 export interface WaitingStep {
@@ -32,9 +32,9 @@
   readonly tasks: TaskProgress[];
   readonly rank: Rank;
   /** Of one rank the lowest goes first: the time of day by which the job should have ended. */
-  readonly orderMs: number;
+  readonly sortMs: number;
   /** Only so many of the tasks have this rank; the step stands once more for the rest. */
-  readonly most: number;
+  readonly maxTasks: number;
 }
 
 /** The steps of one occurrence that have tasks to start and wait for nothing else. */
@@ -47,26 +47,26 @@
   if (!queue) return;
   for (let step = 0; step < occurrence.steps.length; step += 1) {
     const tasks = occurrence.steps[step]!;
-    const waits = tasks.some(({ phase }) => phase === 'waiting');
-    if (waits && job.isStepReady(occurrence, step)) {
+    const hasWaiting = tasks.some(({ phase }) => phase === 'waiting');
+    if (hasWaiting && job.isStepReady(occurrence, step)) {
       const ref = { jobId: job.spec.id, occurrence: occurrence.number, step, index: 0 };
-      const sinceMs = sinceOf(job, occurrence);
+      const requestedMs = requestedMsOf(job, occurrence);
       const spec = job.spec.steps[step]!;
       const rank = spec.lasting
-        ? lastingRank(tasks)
-        : RANKS[feasibilityOf(job.spec, queue, step, sinceMs, timeOfDayMs)]!;
-      const orderMs = sinceMs + objectiveMs(job.spec, queue);
-      yield { job, queue, spec, ref, tasks, rank, orderMs, most: Infinity };
+        ? longRunningRank(tasks)
+        : RANK_BY_FEASIBILITY[feasibilityOf(job.spec, queue, step, requestedMs, timeOfDayMs)]!;
+      const sortMs = requestedMs + objectiveMs(job.spec, queue);
+      yield { job, queue, spec, ref, tasks, rank, sortMs, maxTasks: Infinity };
     }
   }
 }
 
-function lastingRank(tasks: readonly TaskProgress[]): Rank {
+function longRunningRank(tasks: readonly TaskProgress[]): Rank {
   return tasks.some(({ phase, run }) => phase === 'waiting' && run > 0) ? 0 : 3;
 }
 
 /** When the work of an occurrence was asked for: at its due time, or with the job. */
-function sinceOf({ spec }: JobProgress, { number }: Occurrence): number {
+function requestedMsOf({ spec }: JobProgress, { number }: Occurrence): number {
   const { schedule, acceptedMs } = spec;
   return schedule ? schedule.firstDueMs + number * schedule.intervalMs : acceptedMs;
 }
@@ -78,5 +78,5 @@
 export function byUrgency(a: WaitingStep, b: WaitingStep): number {
   if (a.queue.priority !== b.queue.priority) return a.queue.priority - b.queue.priority;
   if (a.rank !== b.rank) return a.rank - b.rank;
-  return a.orderMs - b.orderMs;
+  return a.sortMs - b.sortMs;
 }
--- a/packages/jobs/src/internal/worker-state.ts
+++ b/packages/jobs/src/internal/worker-state.ts
@@ -14,22 +14,22 @@
    * A report asked for after this time that does not know the run proves that it never will run.
    * Infinite while the start is on its way.
    */
-  settledMs: number;
+  sendCompletedMs: number;
   /** The worker has said that the run is there, or was. */
-  seen: boolean;
+  confirmed: boolean;
   /** When the newest stop was sent; 0 before the first. */
   stopSentMs: number;
   /** Why it was stopped first; undefined before that. */
   stopReason: StopReason | undefined;
   checkpoint: string;
   /** When its checkpoint changed last, or the run was ordered. */
-  savedMs: number;
+  checkpointedMs: number;
   percent: number;
   /** When `percent` last rose. */
-  movedMs: number;
+  progressedMs: number;
   measure: number;
   /** Since when every report had its tail over its target; 0 if the newest had not. */
-  overSinceMs: number;
+  missedTargetSinceMs: number;
   /** The share of its speed that the run was last told to work at. */
   pace: number;
 }
@@ -76,11 +76,11 @@
 
   #gpus = 0;
 
-  #fillMilli = 0;
+  #bestEffortMilli = 0;
 
   #servingMilli = 0;
 
-  readonly #claimedFills = new Map<string, number>();
+  readonly #bestEffortClaims = new Map<string, number>();
 
   /** How many serving tasks of each image are here. */
   readonly servingImages = new Map<string, number>();
@@ -96,7 +96,7 @@
   }
 
   /** What runs here was measured again. */
-  measured(): void {
+  markMeasured(): void {
     this.#version += 1;
   }
 
@@ -106,8 +106,8 @@
   }
 
   /** What the filling tasks here would use if nothing else did. */
-  get fillMilli(): number {
-    return this.#fillMilli;
+  get bestEffortMilli(): number {
+    return this.#bestEffortMilli;
   }
 
   /** Reserved by tasks that answer callers of their own. */
@@ -116,8 +116,8 @@
   }
 
   /** By image: the processor time that filling tasks here claim. */
-  claimedFills(): ReadonlyMap<string, number> {
-    return this.#claimedFills;
+  bestEffortClaims(): ReadonlyMap<string, number> {
+    return this.#bestEffortClaims;
   }
 
   add(key: string, run: WorkerRun): void {
@@ -133,7 +133,7 @@
     this.#count(run.spec, -1);
   }
 
-  hasRoomFor(spec: StepSpec): boolean {
+  hasCapacityFor(spec: StepSpec): boolean {
     const { capacity } = this.entry;
     const cpu = spec.fills ? 0 : spec.cpuMilli;
     if (this.#cpuMilli + cpu > capacity.cpuMilli) return false;
@@ -142,7 +142,7 @@
   }
 
   /** The same once everything here has ended but the tasks that last. */
-  wouldHaveRoomFor(spec: StepSpec): boolean {
+  hasCapacityBesideLongRunning(spec: StepSpec): boolean {
     const { capacity } = this.entry;
     let [cpuMilli, memMb, gpus] = [spec.fills ? 0 : spec.cpuMilli, spec.memMb, spec.gpus];
     for (const { spec: other } of this.runs.values()) {
@@ -156,8 +156,9 @@
   }
 
   /** Whether a serving task here was over its target in the newest report. */
-  isHarmed(): boolean {
-    for (const { overSinceMs } of this.runs.values()) if (overSinceMs > 0) return true;
+  missesTarget(): boolean {
+    for (const { missedTargetSinceMs } of this.runs.values())
+      if (missedTargetSinceMs > 0) return true;
     return false;
   }
 
@@ -173,8 +174,8 @@
   #count(spec: StepSpec, sign: 1 | -1): void {
     this.#version += 1;
     if (spec.fills) {
-      this.#fillMilli += sign * spec.cpuMilli;
-      addTo(this.#claimedFills, spec.image, sign * spec.cpuMilli);
+      this.#bestEffortMilli += sign * spec.cpuMilli;
+      addTo(this.#bestEffortClaims, spec.image, sign * spec.cpuMilli);
     } else {
       this.#cpuMilli += sign * spec.cpuMilli;
     }
--- a/packages/jobs/src/job-progress.ts
+++ b/packages/jobs/src/job-progress.ts
@@ -75,7 +75,7 @@
     while (this.#nextOccurrence < this.occurrenceCount && this.nextDueMs <= timeOfDayMs) {
       const number = this.#nextOccurrence;
       this.#nextOccurrence += 1;
-      this.occurrences.set(number, { number, steps: this.spec.steps.map(freshTasks) });
+      this.occurrences.set(number, { number, steps: this.spec.steps.map(newTasks) });
       opened = true;
     }
     return opened;
@@ -87,7 +87,7 @@
     this.#endedMs = timeOfDayMs;
   }
 
-  begin(): void {
+  markRunning(): void {
     if (this.#state === 'queued') this.#state = 'running';
   }
 
@@ -113,7 +113,7 @@
       s: this.#state,
       b: this.#nextOccurrence,
       o:
-        isFinal(this.#state) && !this.hasBound()
+        isFinal(this.#state) && !this.hasBoundTasks()
           ? []
           : [...this.occurrences.values()].map(encodeOccurrence),
     };
@@ -121,7 +121,7 @@
     return JSON.stringify(rec);
   }
 
-  hasBound(): boolean {
+  hasBoundTasks(): boolean {
     for (const { steps } of this.occurrences.values()) {
       if (steps.some((tasks) => tasks.some(({ phase }) => phase === 'bound'))) return true;
     }
@@ -129,13 +129,13 @@
   }
 
   /** How many tasks are given to workers; counted up to `most`. */
-  boundCount(most: number): number {
+  boundCount(limit: number): number {
     let count = 0;
     for (const { steps } of this.occurrences.values()) {
       for (const tasks of steps) {
         for (const { phase } of tasks) {
           if (phase === 'bound') count += 1;
-          if (count >= most) return count;
+          if (count >= limit) return count;
         }
       }
     }
@@ -175,11 +175,11 @@
   return phase === 'done';
 }
 
-function freshTasks({ taskCount }: StepSpec): TaskProgress[] {
-  return Array.from({ length: taskCount }, () => freshTask());
+function newTasks({ taskCount }: StepSpec): TaskProgress[] {
+  return Array.from({ length: taskCount }, () => newTask());
 }
 
-function freshTask(): TaskProgress {
+function newTask(): TaskProgress {
   return { phase: 'waiting', run: 0, worker: '', failures: 0, checkpoint: '' };
 }
 
@@ -194,8 +194,8 @@
 }
 
 function decodeTask(tuple: TaskTuple): TaskProgress {
-  if (tuple === 0) return freshTask();
-  if (tuple === 1) return { ...freshTask(), phase: 'done' };
+  if (tuple === 0) return newTask();
+  if (tuple === 1) return { ...newTask(), phase: 'done' };
   const [phase, run, worker, failures, checkpoint] = tuple;
   return { phase: PHASES[phase]!, run, worker, failures, checkpoint };
 }
--- a/packages/jobs/src/scheduler.ts
+++ b/packages/jobs/src/scheduler.ts
@@ -25,7 +25,7 @@
 export type { RoundLimits } from './internal/round-limits.js';
 
 /** How long a worker that had no room is left alone, in ms: until its next ends are known. */
-const FULL_PAUSE_MS = 200;
+const FULL_WORKER_PAUSE_MS = 200;
 
 /** What a round of decisions came to. */
 export interface Decisions {
@@ -58,16 +58,16 @@
   readonly #model: TailLatencyModel;
 
   /** When leases that earlier nodes have given are over, where more than the rule is known. */
-  #inheritedEndMs: ReadonlyMap<string, number> = new Map();
+  #inheritedLeaseEndsMs: ReadonlyMap<string, number> = new Map();
 
   constructor(
     timing: SchedulerTiming,
     nowMs: number,
-    note: EventLogger,
+    logEvent: EventLogger,
     model = new TailLatencyModel(),
     placement: PlacementPolicy = new WorstFit(model),
   ) {
-    this.#state = new ClusterState(timing, nowMs, note);
+    this.#state = new ClusterState(timing, nowMs, logEvent);
     this.#model = model;
     this.#reader = new ReportReader(this.#state, model);
     this.#placer = new TaskPlacer(this.#state, placement);
@@ -89,12 +89,12 @@
 
   /** Starts from what an earlier scheduling node has learned. */
   restoreLearned(learned: InterferenceWeights): void {
-    this.#model.interference.assume(learned);
+    this.#model.interference.restore(learned);
   }
 
   /** By worker, when leases that earlier nodes have given are over, where more than the rule is known. */
   inheritLeases(endMs: ReadonlyMap<string, number>): void {
-    this.#inheritedEndMs = endMs;
+    this.#inheritedLeaseEndsMs = endMs;
     for (const id of endMs.keys()) {
       const worker = this.#state.workers.get(id);
       if (worker) this.#inheritLease(worker);
@@ -105,8 +105,8 @@
    * Jobs that were begun before may not be told yet, or all of them are. Until then what workers list
    * of unknown jobs is left as it is; all else goes on.
    */
-  setFullyLoaded(isWhole: boolean): void {
-    this.#state.isWhole = isWhole;
+  setFullyLoaded(isFullyLoaded: boolean): void {
+    this.#state.isFullyLoaded = isFullyLoaded;
   }
 
   setQueues(queues: Iterable<QueuePolicy>): void {
@@ -121,7 +121,7 @@
     const { id } = progress.spec;
     if (this.#state.jobs.has(id)) return;
     this.#state.jobs.set(id, progress);
-    this.#placer.assumeIdle(progress, changedMs);
+    this.#placer.restoreIdle(progress, changedMs);
     for (const [ref, task] of boundTasks(progress)) this.#inherit(progress, ref, task);
   }
 
@@ -148,7 +148,7 @@
     const worker = known ?? this.#state.addWorker(entry);
     if (entry.draining && !(known?.listed && known.entry.draining)) {
       const { id, remainingMs } = entry;
-      this.#state.note('worker-leaves', { worker: id, remainingMs, runs: worker.runs.size });
+      this.#state.logEvent('worker-leaves', { worker: id, remainingMs, runs: worker.runs.size });
     }
     worker.entry = entry;
     worker.listed = true;
@@ -165,7 +165,7 @@
   workerEnded(id: string, nowMs: number, why: string): void {
     const worker = this.#state.workers.get(id);
     if (!worker) return;
-    this.#state.note('worker-gone', { worker: id, why, runs: worker.runs.size });
+    this.#state.logEvent('worker-gone', { worker: id, why, runs: worker.runs.size });
     this.#state.releaseAll(worker);
     this.#state.workers.delete(id);
   }
@@ -183,14 +183,14 @@
   }
 
   /** What came of an order that `decide` returned. */
-  answered(order: Order, outcome: OrderOutcome, nowMs: number, settledMs: number): void {
+  answered(order: Order, outcome: OrderOutcome, nowMs: number, sendCompletedMs: number): void {
     const worker = this.#state.workers.get(order.worker);
     if (!worker) return;
     if (outcome === 'other-life') {
       this.workerEnded(order.worker, nowMs, 'other-life');
       return;
     }
-    if (order.kind === 'start') this.#startAnswered(worker, order, outcome, nowMs, settledMs);
+    if (order.kind === 'start') this.#startAnswered(worker, order, outcome, nowMs, sendCompletedMs);
   }
 
   /**
@@ -204,7 +204,7 @@
     const worker = this.#state.workers.get(order.worker);
     const run = worker?.runs.get(taskName(order.task));
     if (!worker || run?.run !== order.run) return false;
-    return worker.listed && !worker.entry.draining && !this.#stopRules.unwanted(worker, run);
+    return worker.listed && !worker.entry.draining && !this.#stopRules.unwantedReason(worker, run);
   }
 
   /** How long ago the task of a start was bound, in milliseconds; 0 where it is not any more. */
@@ -279,8 +279,8 @@
   nextDueMs(): number | undefined {
     let next: number | undefined;
     for (const job of this.#state.jobs.values()) {
-      const waits = !isFinal(job.state) && job.nextOccurrence < job.occurrenceCount;
-      if (waits && (next === undefined || job.nextDueMs < next)) next = job.nextDueMs;
+      const isPending = !isFinal(job.state) && job.nextOccurrence < job.occurrenceCount;
+      if (isPending && (next === undefined || job.nextDueMs < next)) next = job.nextDueMs;
     }
     return next;
   }
@@ -295,12 +295,12 @@
     }
     worker.add(taskName(ref), {
       ...newRun(ref, task, job.spec.steps[ref.step]!, this.#state.startedMs),
-      settledMs: -Infinity,
+      sendCompletedMs: -Infinity,
     });
   }
 
   #inheritLease(worker: WorkerState): void {
-    const endMs = this.#inheritedEndMs.get(worker.entry.id);
+    const endMs = this.#inheritedLeaseEndsMs.get(worker.entry.id);
     if (endMs !== undefined && !worker.fenced) Object.assign(worker, { leaseEndMs: endMs });
   }
 
@@ -309,20 +309,20 @@
     order: Order & { kind: 'start' },
     outcome: OrderOutcome,
     nowMs: number,
-    settledMs: number,
+    sendCompletedMs: number,
   ): void {
     const key = taskName(order.task);
     const run = worker.runs.get(key);
     if (!run || run.run !== order.run) return;
     // Its next list may be two seconds away, and it may say before that it leaves.
-    if (outcome === 'done') run.seen = true;
+    if (outcome === 'done') run.confirmed = true;
     // A run that is over there may have ended well: only the worker's lists can tell.
     if (outcome === 'done' || outcome === 'unknown' || outcome === 'superseded') {
-      run.settledMs = settledMs;
+      run.sendCompletedMs = sendCompletedMs;
       return;
     }
-    if (outcome === 'no-room') worker.fullUntilMs = nowMs + FULL_PAUSE_MS;
-    if (outcome === 'unhealthy') worker.health.stoodStill(nowMs);
+    if (outcome === 'no-room') worker.fullUntilMs = nowMs + FULL_WORKER_PAUSE_MS;
+    if (outcome === 'unhealthy') worker.health.stalled(nowMs);
     this.#state.releaseRun(worker, key, run);
   }
 
@@ -332,13 +332,13 @@
       const isSilent =
         nowMs > worker.leaseEndMs && nowMs - worker.answeredMs > this.#state.timing.leaseMs;
       if (isSilent && (worker.runs.size > 0 || !worker.listed)) {
-        this.#state.note('leases-over', {
+        this.#state.logEvent('leases-over', {
           worker: worker.entry.id,
           runs: worker.runs.size,
           hasAnswered: worker.fenced,
           silentMs: Math.round(nowMs - Math.max(worker.answeredMs, this.#state.startedMs)),
         });
-        this.#releaseSettled(worker);
+        this.#releaseSent(worker);
         if (!worker.listed && worker.runs.size === 0) this.#state.workers.delete(worker.entry.id);
       }
     }
@@ -348,9 +348,9 @@
    * Releases all runs but those whose start may be sent again yet: after seconds in which this node
    * stood still, it would begin there what is begun elsewhere as well. Its answer is never far.
    */
-  #releaseSettled(worker: WorkerState): void {
+  #releaseSent(worker: WorkerState): void {
     for (const [key, run] of worker.runs) {
-      if (run.settledMs < Infinity) this.#state.releaseRun(worker, key, run);
+      if (run.sendCompletedMs < Infinity) this.#state.releaseRun(worker, key, run);
     }
   }
 
@@ -359,7 +359,7 @@
       if (!isFinal(job.state)) {
         job.closeOccurrences(timeOfDayMs);
         if (isFinal(job.state)) {
-          this.#state.noteEnd(job);
+          this.#state.logJobEnd(job);
         }
       }
     }
@@ -376,8 +376,8 @@
   #stopUnwanted(nowMs: number): void {
     for (const worker of this.#state.workers.values()) {
       for (const run of worker.runs.values()) {
-        const again = nowMs - run.stopSentMs >= this.#state.timing.stopRetryMs;
-        const reason = again ? this.#stopRules.reason(worker, run, nowMs) : undefined;
+        const isStopDue = nowMs - run.stopSentMs >= this.#state.timing.stopRetryMs;
+        const reason = isStopDue ? this.#stopRules.reason(worker, run, nowMs) : undefined;
         if (reason) this.#state.stopRun(worker, run, reason, nowMs);
       }
     }
--- a/packages/jobs/src/test/halted-runs_test.ts
+++ b/packages/jobs/src/test/halted-runs_test.ts
@@ -11,27 +11,35 @@
 
 const SERVING = stepSpec({ lasting: true, targetMs: 20, image: 'web', cpuMilli: 4_000 });
 
-const FILLING = stepSpec({ fills: true, image: 'crunch' });
+const BEST_EFFORT = stepSpec({ fills: true, image: 'crunch' });
 
 /** The only task of a job works beside a serving task that misses its target from now on. */
-function besideMissedTarget(): { harness: SchedulerHarness; web: Order; fill: Order } {
+function bestEffortBesideMissedTarget(): {
+  harness: SchedulerHarness;
+  web: Order;
+  bestEffort: Order;
+} {
   const harness = new SchedulerHarness([workerEntry('w1')]);
   harness.submit(jobSpec([SERVING], { id: '00000000000000a1' }));
-  harness.submit(jobSpec([FILLING], { id: '00000000000000a2', acceptedMs: harness.nowMs }));
+  harness.submit(jobSpec([BEST_EFFORT], { id: '00000000000000a2', acceptedMs: harness.nowMs }));
   const starts = harness.starts();
   for (const start of starts) harness.answer(start, 'done');
   const startOf = (id: string): Order => starts.find(({ task }) => task.jobId.endsWith(id))!;
-  return { harness, web: startOf('a1'), fill: startOf('a2') };
+  return { harness, web: startOf('a1'), bestEffort: startOf('a2') };
 }
 
 /** Plays five seconds of reports, and returns the stops that were ordered. */
-function stopsOf({ harness, web, fill }: ReturnType<typeof besideMissedTarget>): Order[] {
+function stopsInFiveSeconds({
+  harness,
+  web,
+  bestEffort,
+}: ReturnType<typeof bestEffortBesideMissedTarget>): Order[] {
   const stops: Order[] = [];
   for (let report = 0; report < 10; report += 1) {
     harness.nowMs += 500;
     const rows = [
       runningRow(web, { percent: 100, measure: 25 }),
-      runningRow(fill, { percent: Math.min(10 + report, 13) }),
+      runningRow(bestEffort, { percent: Math.min(10 + report, 13) }),
     ];
     harness.report('w1', { running: rows });
     for (const { entry } of harness.scheduler.workers.values()) {
@@ -45,14 +53,14 @@
 test('the only task at work of a job goes on elsewhere when it is halted', () => {
   // Guards against a job that is taken to be at work while its task is halted for half a minute, and
   // other workers have room.
-  const scene = besideMissedTarget();
+  const scene = bestEffortBesideMissedTarget();
   scene.harness.scheduler.listWorker(workerEntry('w2'), scene.harness.nowMs);
   scene.harness.report('w2');
-  const [stop] = stopsOf(scene);
-  assert.equal(stop?.task.jobId, scene.fill.task.jobId);
+  const [stop] = stopsInFiveSeconds(scene);
+  assert.equal(stop?.task.jobId, scene.bestEffort.task.jobId);
   scene.harness.report('w1', {
     running: [runningRow(scene.web, { percent: 100, measure: 25 })],
-    ended: [scene.harness.end(scene.fill, 'stopped')],
+    ended: [scene.harness.end(scene.bestEffort, 'stopped')],
   });
   assert.deepEqual(
     scene.harness.starts().map(({ worker }) => worker),
@@ -62,5 +70,5 @@
 
 test('a halted task stays where no other worker has a place for it', () => {
   // Guards against work that is thrown away in vain.
-  assert.deepEqual(stopsOf(besideMissedTarget()), []);
+  assert.deepEqual(stopsInFiveSeconds(bestEffortBesideMissedTarget()), []);
 });
--- a/packages/jobs/src/test/idle-job-log_test.ts
+++ b/packages/jobs/src/test/idle-job-log_test.ts
@@ -20,9 +20,9 @@
     harness.report('w1');
     harness.report('w2');
   }
-  const [told, ...others] = harness.fieldsOf('job-idle');
+  const [logged, ...others] = harness.fieldsOf('job-idle');
   assert.equal(others.length, 0);
-  const { job, idleMs, reservedPercent, label, room } = told!;
+  const { job, idleMs, reservedPercent, label, room } = logged!;
   const expected = { job: 'second', idleMs: 4_000, reservedPercent: 50, label: 1, room: 1 };
   assert.deepEqual({ job, idleMs, reservedPercent, label, room }, expected);
   const { idleJobs, longestIdleMs } = harness.scheduler.backlog(harness.nowMs);
@@ -37,10 +37,10 @@
   // Guards against idle times that begin anew with each scheduling node: with two of them a job waits
   // twice as long for its turn.
   const harness = new SchedulerHarness([]);
-  const left = new JobProgress(jobSpec([stepSpec()], { id: 'left' }));
-  left.openDue(harness.nowMs);
+  const inherited = new JobProgress(jobSpec([stepSpec()], { id: 'left' }));
+  inherited.openDue(harness.nowMs);
   harness.nowMs = 60_000;
-  harness.scheduler.addJob(left, harness.nowMs - 9_000);
+  harness.scheduler.addJob(inherited, harness.nowMs - 9_000);
   harness.submit(jobSpec([stepSpec()], { id: 'new' }));
   harness.decide();
   assert.equal(harness.scheduler.backlog(harness.nowMs).longestIdleMs, 9_000);
--- a/packages/jobs/src/test/overloaded-cluster.ts
+++ b/packages/jobs/src/test/overloaded-cluster.ts
@@ -2,7 +2,7 @@
 import type { JobProgress } from '../job-progress.js';
 import { isFinal } from '../job.js';
 import type { StepSpec } from '../job.js';
-import { DrawnCluster, STEP_MS, drawing } from './simulated-cluster.js';
+import { SimulatedCluster, STEP_MS, pseudoRandom } from './simulated-cluster.js';
 import { QUEUE, jobSpec, stepSpec, workerEntry } from './scheduler-harness.js';
 
 const WORKERS = ['w1', 'w2', 'w3', 'w4', 'w5', 'w6', 'w7', 'w8'];
@@ -11,7 +11,7 @@
 const CORES = 8 * WORKERS.length;
 
 /** What services reserve stays as it is for so long, in seconds. */
-const LEVEL_S = 5;
+const SERVICE_CHANGE_S = 5;
 
 /** A task of a service claims one processor and answers callers of its own. */
 const SERVICE = stepSpec({ lasting: true, targetMs: 20, image: 'web' });
@@ -20,7 +20,7 @@
 export const BEST_EFFORT: StepSpec = stepSpec({ fills: true, image: 'crunch' });
 
 /** What a crowded cluster is played with. */
-export interface Crowd {
+export interface LoadProfile {
   readonly seed: number;
   /** Services reserve at least and at most so much of the processors, in percent; drawn anew every five seconds. */
   readonly services: readonly [number, number];
@@ -29,12 +29,12 @@
 }
 
 /** Services come and go while crowds of best-effort jobs wait. */
-export class CrowdedCluster {
-  readonly #crowd: Crowd;
+export class OverloadedCluster {
+  readonly #load: LoadProfile;
 
-  readonly #cluster: DrawnCluster;
+  readonly #cluster: SimulatedCluster;
 
-  readonly #draw: () => number;
+  readonly #random: () => number;
 
   readonly #services: string[] = [];
 
@@ -47,13 +47,13 @@
 
   refusedCount = 0;
 
-  constructor(crowd: Crowd) {
-    this.#crowd = crowd;
-    this.#cluster = new DrawnCluster(
-      crowd.seed,
+  constructor(load: LoadProfile) {
+    this.#load = load;
+    this.#cluster = new SimulatedCluster(
+      load.seed,
       WORKERS.map((id) => workerEntry(id)),
     );
-    this.#draw = drawing(crowd.seed + 100);
+    this.#random = pseudoRandom(load.seed + 100);
     this.#cluster.harness.nowMs = 60_000;
     for (const id of WORKERS) this.#cluster.harness.report(id);
   }
@@ -72,23 +72,23 @@
   }
 
   /** Plays so many seconds, in each of which so many jobs come that can end in time. */
-  play(seconds: number, arrivals = 0): void {
+  simulate(seconds: number, arrivals = 0): void {
     const endSecond = this.#second + seconds;
     for (; this.#second < endSecond; this.#second += 1) {
-      if (this.#second % LEVEL_S === 0) this.#drawServices();
+      if (this.#second % SERVICE_CHANGE_S === 0) this.#adjustServices();
       for (let ms = 0; ms < 1_000; ms += STEP_MS) {
         this.#cluster.submitInTime(Math.round((arrivals * STEP_MS) / 1_000), BEST_EFFORT);
         this.#cluster.step();
-        this.#look();
+        this.#measureIdle();
       }
     }
   }
 
   /** Submits or cancels services until these reserve what is drawn. */
-  #drawServices(): void {
+  #adjustServices(): void {
     const { harness } = this.#cluster;
-    const [least, most] = this.#crowd.services;
-    const wanted = Math.round(((least + (most - least) * this.#draw()) / 100) * CORES);
+    const [min, max] = this.#load.services;
+    const wanted = Math.round(((min + (max - min) * this.#random()) / 100) * CORES);
     while (this.#services.length < wanted) {
       const id = `service${this.#services.length}-${harness.nowMs}`;
       harness.submit(jobSpec([SERVICE], { id }));
@@ -99,11 +99,11 @@
     }
   }
 
-  #look(): void {
+  #measureIdle(): void {
     const { scheduler, nowMs } = this.#cluster.harness;
-    const isWatched = scheduler.backlog(nowMs).reservedPercent < this.#crowd.watchedBelow;
+    const isWatched = scheduler.backlog(nowMs).reservedPercent < this.#load.watchedBelow;
     for (const job of scheduler.jobs.values()) {
-      const isIdle = isWatched && !isFinal(job.state) && !job.hasBound();
+      const isIdle = isWatched && !isFinal(job.state) && !job.hasBoundTasks();
       const idleMs = isIdle ? (this.#idleMs.get(job) ?? 0) + STEP_MS : 0;
       this.#idleMs.set(job, idleMs);
       this.longestIdleMs = Math.max(this.longestIdleMs, idleMs);
--- a/packages/jobs/src/test/pacing_test.ts
+++ b/packages/jobs/src/test/pacing_test.ts
@@ -10,31 +10,33 @@
 } from './scheduler-harness.js';
 
 const SERVING = stepSpec({ lasting: true, targetMs: 20, image: 'web', cpuMilli: 4_000 });
-const FILLING = stepSpec({ fills: true, image: 'crunch', taskCount: 2, checkpointing: true });
+const BEST_EFFORT = stepSpec({ fills: true, image: 'crunch', taskCount: 2, checkpointing: true });
 
 /** One worker with a serving task and two filling ones, all started. */
-function besideEachOther(): { harness: SchedulerHarness; web: Order; fills: Order[] } {
+function coLocatedTasks(): { harness: SchedulerHarness; web: Order; bestEffort: Order[] } {
   const harness = new SchedulerHarness([workerEntry('w1')]);
   harness.submit(jobSpec([SERVING], { id: '00000000000000a1' }));
-  harness.submit(jobSpec([FILLING], { id: '00000000000000a2' }));
+  harness.submit(jobSpec([BEST_EFFORT], { id: '00000000000000a2' }));
   const starts = harness.starts();
   for (const start of starts) harness.answer(start, 'done');
   const web = starts.find(({ task }) => task.jobId.endsWith('a1'))!;
-  return { harness, web, fills: starts.filter((start) => start !== web) };
+  return { harness, web, bestEffort: starts.filter((start) => start !== web) };
 }
 
 test('a target missed for over a second brings all filling tasks beside it to a halt', () => {
   // The serving task's users wait: its tail is over its target in report after report. Nothing is
   // known of the images yet, or what is known blames nobody, while the filling tasks beside it go
   // on. Whatever the cause, within two seconds none of them may be working there.
-  const { harness, web, fills } = besideEachOther();
+  const { harness, web, bestEffort } = coLocatedTasks();
   const paces = new Map<string, number>();
   for (let report = 0; report < 5; report += 1) {
     harness.nowMs += 500;
     harness.report('w1', {
       running: [
         runningRow(web, { percent: 100, measure: 21 }),
-        ...fills.map((fill, i) => runningRow(fill, { percent: 10 + report, measure: i * 50 })),
+        ...bestEffort.map((start, i) =>
+          runningRow(start, { percent: 10 + report, measure: i * 50 }),
+        ),
       ],
     });
     for (const order of harness.decide().orders) {
@@ -78,10 +80,10 @@
 test('no filling task is started beside a serving task that is over its target', () => {
   // A report says that the tail is too long. The next filling job would start at full speed and
   // make the seconds over the target longer.
-  const { harness, web } = besideEachOther();
+  const { harness, web } = coLocatedTasks();
   harness.nowMs += 500;
   harness.report('w1', { running: [runningRow(web, { percent: 100, measure: 30 })] });
-  harness.submit(jobSpec([FILLING], { id: '00000000000000a3' }));
+  harness.submit(jobSpec([BEST_EFFORT], { id: '00000000000000a3' }));
   const started = harness.starts().filter(({ task }) => task.jobId.endsWith('a3'));
   assert.deepEqual(started, []);
 });
--- a/packages/jobs/src/test/round-work_test.ts
+++ b/packages/jobs/src/test/round-work_test.ts
@@ -19,16 +19,16 @@
 
 /** Counts looks at workers: each asks whether the worker is draining. */
 class CountedWorkers {
-  looks = 0;
+  checks = 0;
 
   readonly entries: readonly WorkerEntry[] = Array.from({ length: WORKERS }, (_, i) => {
-    const look = (): void => {
-      this.looks += 1;
+    const countCheck = (): void => {
+      this.checks += 1;
     };
     return {
       ...workerEntry(`w${i}`),
       get draining() {
-        look();
+        countCheck();
         return false;
       },
     };
@@ -51,11 +51,11 @@
   const harness = new SchedulerHarness(workers.entries);
   submit(harness, JOBS);
   assert.equal(harness.starts().length, WORKERS);
-  workers.looks = 0;
+  workers.checks = 0;
   assert.equal(harness.starts().length, 0);
   // One look for each kind and worker, and one for each run whether it must leave.
-  const most = (KINDS + 1) * WORKERS;
-  assert.ok(workers.looks <= most, `${workers.looks} looks`);
+  const maxChecks = (KINDS + 1) * WORKERS;
+  assert.ok(workers.checks <= maxChecks, `${workers.checks} looks`);
 });
 
 test('looks at workers in a round that fills them follow the starts, not all that waits', () => {
@@ -64,17 +64,21 @@
   const workers = new CountedWorkers();
   const harness = new SchedulerHarness(workers.entries);
   submit(harness, JOBS);
-  workers.looks = 0;
+  workers.checks = 0;
   const starts = harness.starts().length;
   assert.equal(starts, WORKERS);
   // One for each kind and worker, one for each kind after a start, and one for each run.
-  const most = KINDS * WORKERS + (KINDS + 1) * starts;
-  assert.ok(workers.looks <= most, `${workers.looks} looks`);
+  const maxChecks = KINDS * WORKERS + (KINDS + 1) * starts;
+  assert.ok(workers.checks <= maxChecks, `${workers.checks} looks`);
 });
 
 /** Limits of a round whose clock goes on by one with each look at a worker. */
-function limitsOf(workers: CountedWorkers, placingMs: number, starts = Infinity): RoundLimits {
-  return { placingMs, starts, clockMs: () => workers.looks };
+function limitsByChecks(
+  workers: CountedWorkers,
+  placingMs: number,
+  starts = Infinity,
+): RoundLimits {
+  return { placingMs, starts, clockMs: () => workers.checks };
 }
 
 /** Decides within limits; returns the jobs whose tasks are started, and whether there is more. */
@@ -102,11 +106,11 @@
   harness.scheduler.workerEnded(first!.worker, harness.nowMs, 'test');
   const order: string[] = [];
   for (let hasMore = true; hasMore;) {
-    const before = workers.looks;
-    const [started, isCutShort] = startedJobs(harness, limitsOf(workers, 10 * WORKERS));
+    const before = workers.checks;
+    const [started, isCutShort] = startedJobs(harness, limitsByChecks(workers, 10 * WORKERS));
     // The last kind is looked up to its end; a worker with runs is looked at once more.
-    const most = 11 * WORKERS + order.length + started.length + WORKERS;
-    assert.ok(workers.looks - before <= most, `${workers.looks - before} looks`);
+    const maxChecks = 11 * WORKERS + order.length + started.length + WORKERS;
+    assert.ok(workers.checks - before <= maxChecks, `${workers.checks - before} looks`);
     assert.ok(started.length > 0);
     order.push(...started);
     hasMore = isCutShort;
@@ -128,7 +132,7 @@
   const started: string[] = [];
   let rounds = 0;
   for (let hasMore = true; hasMore; rounds += 1) {
-    const [jobs, isCutShort] = startedJobs(harness, limitsOf(workers, 10 * WORKERS));
+    const [jobs, isCutShort] = startedJobs(harness, limitsByChecks(workers, 10 * WORKERS));
     started.push(...jobs);
     hasMore = isCutShort;
     assert.ok(rounds < 40, 'more rounds than it takes to try each once');
@@ -150,7 +154,7 @@
   harness.report(cancelled!.worker, { running: [runningRow(cancelled!)] });
   harness.report(ended!.worker, { ended: [harness.end(ended!, 'done')] });
   harness.scheduler.cancel('cancelled', harness.nowMs);
-  const limits = limitsOf(workers, 0, 0);
+  const limits = limitsByChecks(workers, 0, 0);
   const decisions = harness.scheduler.decide(harness.nowMs, harness.nowMs, limits);
   assert.deepEqual(
     decisions.orders.map(({ kind, task }) => [kind, task.jobId]),
@@ -194,7 +198,7 @@
   harness.submit(jobSpec([stepSpec({ taskCount: 100 })], { id: 'wide' }));
   const counts: number[] = [];
   for (let hasMore = true; hasMore;) {
-    const limits = limitsOf(workers, WORKERS + 24);
+    const limits = limitsByChecks(workers, WORKERS + 24);
     const [started, isCutShort] = startedJobs(harness, limits);
     counts.push(started.length);
     hasMore = isCutShort;
--- a/packages/jobs/src/test/scheduler-harness.ts
+++ b/packages/jobs/src/test/scheduler-harness.ts
@@ -59,10 +59,10 @@
 export class SchedulerHarness {
   nowMs = 1_000;
 
-  readonly notes: string[] = [];
+  readonly events: string[] = [];
 
   /** The fields of the notes, in their order. */
-  readonly noteFields: Record<string, string | number | boolean>[] = [];
+  readonly eventFields: Record<string, string | number | boolean>[] = [];
 
   readonly model = new TailLatencyModel();
 
@@ -75,8 +75,8 @@
       TIMING,
       this.nowMs,
       (event, fields) => {
-        this.notes.push(event);
-        this.noteFields.push(fields);
+        this.events.push(event);
+        this.eventFields.push(fields);
       },
       this.model,
     );
@@ -89,7 +89,7 @@
 
   /** The fields of every note of one event. */
   fieldsOf(event: string): Record<string, string | number | boolean>[] {
-    return this.noteFields.filter((_, i) => this.notes[i] === event);
+    return this.eventFields.filter((_, i) => this.events[i] === event);
   }
 
   submit(spec: JobSpec): JobProgress {
@@ -111,8 +111,8 @@
     return this.decide().orders.filter((order) => order.kind === 'stop');
   }
 
-  answer(order: Order, outcome: OrderOutcome, settledMs = this.nowMs): void {
-    this.scheduler.answered(order, outcome, this.nowMs, settledMs);
+  answer(order: Order, outcome: OrderOutcome, sendCompletedMs = this.nowMs): void {
+    this.scheduler.answered(order, outcome, this.nowMs, sendCompletedMs);
   }
 
   report(worker: string, rows: { running?: RunningRow[]; ended?: EndedRow[] } = {}): void {
--- a/packages/jobs/src/test/serving-loads_test.ts
+++ b/packages/jobs/src/test/serving-loads_test.ts
@@ -38,7 +38,7 @@
         const aheads = Array.from({ length: 6 }, (_, i) =>
           slackAt(nowMs + i * 500, periodMs, step),
         );
-        squares.push((loads.leastAhead(ref, nowMs, 2_500)! - Math.min(...aheads)) ** 2);
+        squares.push((loads.minSlackAhead(ref, nowMs, 2_500)! - Math.min(...aheads)) ** 2);
       }
     }
   }
@@ -58,7 +58,7 @@
   const loads = new ServingLoads();
   const ref = { jobId: 'j', occurrence: 0, step: 0, index: 0 };
   for (let i = 0; i < 200; i += 1) loads.observe(ref, MEAN + 0.5 * noise(i), i * REPORT_MS);
-  assert.ok(Math.abs(loads.leastAhead(ref, 200 * REPORT_MS, 2_500)! - MEAN) < 0.35);
+  assert.ok(Math.abs(loads.minSlackAhead(ref, 200 * REPORT_MS, 2_500)! - MEAN) < 0.35);
 });
 
 /** Whether a best-effort task is started at a moment of a swing of 10 s, after 30 s of it. */
@@ -82,10 +82,10 @@
   harness.submit(jobSpec([serving], { id: '00000000000000a1' }));
   const webs = harness.starts();
   for (const start of webs) harness.answer(start, 'done');
-  const beganMs = harness.nowMs;
-  while (harness.nowMs < beganMs + 30_000 + atMs) {
+  const startMs = harness.nowMs;
+  while (harness.nowMs < startMs + 30_000 + atMs) {
     harness.nowMs += REPORT_MS;
-    const measure = 20 / slackAt(harness.nowMs - beganMs, 10_000, 0);
+    const measure = 20 / slackAt(harness.nowMs - startMs, 10_000, 0);
     const running = webs.map((web) => runningRow(web, { percent: 100, measure }));
     harness.report('w1', { running });
   }
--- a/packages/jobs/src/test/simulated-cluster.ts
+++ b/packages/jobs/src/test/simulated-cluster.ts
@@ -8,7 +8,7 @@
 type Start = Order & { kind: 'start' };
 
 /** Deterministic, so that each run plays the same load. */
-export function drawing(seed: number): () => number {
+export function pseudoRandom(seed: number): () => number {
   let state = seed;
   return () => {
     state = (state * 1_103_515_245 + 12_345) % 2_147_483_648;
@@ -20,12 +20,12 @@
  * Plays a cluster that ends each task after a drawn time of 0.5 to 1.5 s, in steps of 100 ms. Lasting
  * tasks go on until they are stopped.
  */
-export class DrawnCluster {
+export class SimulatedCluster {
   readonly harness: SchedulerHarness;
 
-  readonly #draw: () => number;
+  readonly #random: () => number;
 
-  readonly #ends: { readonly order: Start; readonly atMs: number }[] = [];
+  readonly #running: { readonly order: Start; readonly atMs: number }[] = [];
 
   /** When the first task of each job was started. */
   readonly firstStartMs = new Map<string, number>();
@@ -33,7 +33,7 @@
   startCount = 0;
 
   constructor(seed: number, workers: readonly WorkerEntry[]) {
-    this.#draw = drawing(seed);
+    this.#random = pseudoRandom(seed);
     this.harness = new SchedulerHarness(workers);
   }
 
@@ -48,17 +48,17 @@
   step(): void {
     const { harness } = this;
     const { orders } = harness.decide();
-    for (const order of orders) if (order.kind === 'start') this.#begin(order);
+    for (const order of orders) if (order.kind === 'start') this.#start(order);
     harness.nowMs += STEP_MS;
-    const stopped = this.#take((start) => orders.some((order) => isStopOf(order, start)));
-    const ended = this.#take((_, atMs) => atMs <= harness.nowMs);
+    const stopped = this.#remove((start) => orders.some((order) => isStopOf(order, start)));
+    const ended = this.#remove((_, atMs) => atMs <= harness.nowMs);
     for (const { spec, state } of harness.scheduler.jobs.values()) {
       if (state === 'completed') harness.scheduler.dropJob(spec.id);
     }
     for (const id of harness.scheduler.workers.keys()) {
-      const running = this.#ends
+      const running = this.#running
         .filter(({ order }) => order.worker === id)
-        .map(({ order }) => runningRow(order, this.#isLasting(order) ? { percent: 100 } : {}));
+        .map(({ order }) => runningRow(order, this.#isLongRunning(order) ? { percent: 100 } : {}));
       const rows = [
         ...stopped.filter(({ worker }) => worker === id).map((end) => harness.end(end, 'stopped')),
         ...ended.filter(({ worker }) => worker === id).map((end) => harness.end(end, 'done')),
@@ -67,23 +67,23 @@
     }
   }
 
-  #begin(start: Start): void {
+  #start(start: Start): void {
     this.startCount += 1;
     const { jobId } = start.task;
     if (!this.firstStartMs.has(jobId)) this.firstStartMs.set(jobId, this.harness.nowMs);
-    const tookMs = this.#isLasting(start) ? Infinity : 500 + 1_000 * this.#draw();
-    this.#ends.push({ order: start, atMs: this.harness.nowMs + tookMs });
+    const durationMs = this.#isLongRunning(start) ? Infinity : 500 + 1_000 * this.#random();
+    this.#running.push({ order: start, atMs: this.harness.nowMs + durationMs });
   }
 
-  #isLasting({ task }: Start): boolean {
+  #isLongRunning({ task }: Start): boolean {
     return this.harness.scheduler.jobs.get(task.jobId)?.spec.steps[task.step]!.lasting ?? false;
   }
 
   /** The starts that are over now, taken off those under way. */
-  #take(isOver: (order: Start, atMs: number) => boolean): Start[] {
-    const over = this.#ends.filter(({ order, atMs }) => isOver(order, atMs));
-    for (const end of over) this.#ends.splice(this.#ends.indexOf(end), 1);
-    return over.map(({ order }) => order);
+  #remove(hasEnded: (order: Start, atMs: number) => boolean): Start[] {
+    const ended = this.#running.filter(({ order, atMs }) => hasEnded(order, atMs));
+    for (const end of ended) this.#running.splice(this.#running.indexOf(end), 1);
+    return ended.map(({ order }) => order);
   }
 }
 
--- a/packages/jobs/src/test/starved-jobs_test.ts
+++ b/packages/jobs/src/test/starved-jobs_test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { DrawnCluster, drawing } from './simulated-cluster.js';
+import { SimulatedCluster, pseudoRandom } from './simulated-cluster.js';
 import {
   SchedulerHarness,
   jobSpec,
@@ -96,47 +96,48 @@
   assert.deepEqual(startedBesideLittleSlack(0), []);
 });
 
-const CROWD = 120;
+const STARVED_JOBS = 120;
 
 /** One start in so many goes to an overdue job. */
-const STARTS_A_TURN = 20;
+const STARTS_PER_PRIORITY_START = 20;
 
 /** How long a job may be idle before it is overdue, in milliseconds. */
-const OVERDUE_MS = 15_000;
+const STARVED_AFTER_MS = 15_000;
 
 for (const seed of [1, 2]) {
   test(`each of a crowd of overdue jobs has its turn under a load of 1.1, seed ${seed}`, () => {
     // Guards against turns that go round among the first jobs of a crowd while the last never begin.
     const workers = ['w1', 'w2', 'w3', 'w4'].map((id) => workerEntry(id));
-    const cluster = new DrawnCluster(seed, workers);
+    const cluster = new SimulatedCluster(seed, workers);
     const { harness } = cluster;
     harness.nowMs = 60_000;
     for (const { id } of workers) harness.report(id);
-    const ids = Array.from({ length: CROWD }, (_, i) => `crowd${i}`);
+    const ids = Array.from({ length: STARVED_JOBS }, (_, i) => `crowd${i}`);
     for (const id of ids) {
       const late = stepSpec({ taskCount: 6 });
       harness.submit(jobSpec([late, late], { id, acceptedMs: 0 }));
     }
-    const arrivals = drawing(seed + 100);
-    let turns = 0;
+    const arrivals = pseudoRandom(seed + 100);
+    let priorityStarts = 0;
     const isWaiting = (): boolean => ids.some((id) => !cluster.firstStartMs.has(id));
-    while (isWaiting() && turns < 2 * CROWD) {
+    while (isWaiting() && priorityStarts < 2 * STARVED_JOBS) {
       // 32 processors end 32 tasks a second, and 35 arrive.
       cluster.submitInTime(3 + (arrivals() < 0.5 ? 1 : 0));
       cluster.step();
-      if (harness.nowMs > 60_000 + OVERDUE_MS) turns = cluster.startCount / STARTS_A_TURN;
+      if (harness.nowMs > 60_000 + STARVED_AFTER_MS)
+        priorityStarts = cluster.startCount / STARTS_PER_PRIORITY_START;
     }
     const waiting = ids.filter((id) => !cluster.firstStartMs.has(id));
     assert.deepEqual(waiting, []);
     // By then the others of the crowd had a turn each, and a few went to jobs that came after it.
-    assert.ok(turns <= 1.25 * CROWD, `${turns} turns`);
+    assert.ok(priorityStarts <= 1.25 * STARVED_JOBS, `${priorityStarts} turns`);
   });
 }
 
 /** A cluster under a load of 1.25 of small tasks, and the ids of two jobs with a large one each. */
-function submitLarge(): [DrawnCluster, string[]] {
+function submitLarge(): [SimulatedCluster, string[]] {
   const workers = ['w1', 'w2', 'w3', 'w4'].map((id) => workerEntry(id));
-  const cluster = new DrawnCluster(4, workers);
+  const cluster = new SimulatedCluster(4, workers);
   const { harness } = cluster;
   harness.nowMs = 60_000;
   for (const { id } of workers) harness.report(id);
@@ -151,10 +152,10 @@
 }
 
 /** Plays until something holds, for a minute at most; returns how long it took, in milliseconds. */
-function playUntil(cluster: DrawnCluster, holds: () => boolean): number {
+function runUntil(cluster: SimulatedCluster, condition: () => boolean): number {
   const { harness } = cluster;
   const sinceMs = harness.nowMs;
-  while (!holds() && harness.nowMs < sinceMs + 60_000) {
+  while (!condition() && harness.nowMs < sinceMs + 60_000) {
     cluster.submitInTime(4);
     cluster.step();
   }
@@ -164,9 +165,9 @@
 test('a large task of an overdue job runs though smaller ones take every bit of room', () => {
   // Guards against a wait without bound for room that comes free a processor at a time.
   const [cluster, ids] = submitLarge();
-  const waitedMs = playUntil(cluster, () => ids.every((id) => cluster.firstStartMs.has(id)));
+  const waitedMs = runUntil(cluster, () => ids.every((id) => cluster.firstStartMs.has(id)));
   // A worker is empty within two seconds of its last start, and the second job waits for the first.
-  assert.ok(waitedMs <= OVERDUE_MS + 10_000, `${waitedMs}`);
+  assert.ok(waitedMs <= STARVED_AFTER_MS + 10_000, `${waitedMs}`);
   const [{ cpuMilli }] = cluster.harness.fieldsOf('room-held') as [{ cpuMilli: number }];
   assert.equal(cpuMilli, 7_000);
 });
@@ -175,11 +176,11 @@
   // Guards against starting what nobody asks for any more, and against a worker that stays closed.
   const [cluster] = submitLarge();
   const { harness } = cluster;
-  playUntil(cluster, () => harness.notes.includes('room-held'));
+  runUntil(cluster, () => harness.events.includes('room-held'));
   const [held] = harness.fieldsOf('room-held') as [{ job: string; worker: string }];
   harness.scheduler.cancel(held.job, harness.nowMs);
   const startedBefore = cluster.startCount;
-  playUntil(cluster, () => cluster.startCount > startedBefore + 200);
+  runUntil(cluster, () => cluster.startCount > startedBefore + 200);
   assert.ok(!cluster.firstStartMs.has(held.job));
   const starts = harness.fieldsOf('bound').slice(startedBefore);
   assert.ok(starts.some(({ worker }) => worker === held.worker));
@@ -189,10 +190,10 @@
   // Guards against a task that is given to a worker that no longer exists.
   const [cluster, ids] = submitLarge();
   const { harness } = cluster;
-  playUntil(cluster, () => harness.notes.includes('room-held'));
+  runUntil(cluster, () => harness.events.includes('room-held'));
   const [held] = harness.fieldsOf('room-held') as [{ job: string; worker: string }];
   harness.scheduler.workerEnded(held.worker, harness.nowMs, 'test');
-  playUntil(cluster, () => ids.every((id) => cluster.firstStartMs.has(id)));
+  runUntil(cluster, () => ids.every((id) => cluster.firstStartMs.has(id)));
   assert.ok(ids.every((id) => cluster.firstStartMs.has(id)));
   const bound = harness.fieldsOf('bound').filter(({ worker }) => worker === held.worker);
   assert.ok(bound.every(({ task }) => !String(task).startsWith('large')));
--- a/packages/jobs/src/test/tail-latency-model_test.ts
+++ b/packages/jobs/src/test/tail-latency-model_test.ts
@@ -15,7 +15,7 @@
 const REPORT_MS = 500;
 
 /** A worker's whole processors in use by the filling image take this much slack. */
-const DISTURBANCE = 6;
+const INTERFERENCE_WEIGHT = 6;
 
 const SERVING = stepSpec({
   lasting: true,
@@ -42,7 +42,7 @@
   for (let i = 0; i < 200; i += 1) {
     const part = i % 2 ? 0.1 : 0;
     const parts = new Map([['loud', part]]);
-    harness.model.interference.learn({ image: 'web', slack: -DISTURBANCE * part, parts });
+    harness.model.interference.learn({ image: 'web', slack: -INTERFERENCE_WEIGHT * part, parts });
   }
 }
 
--- a/packages/jobs/src/test/unloaded-jobs_test.ts
+++ b/packages/jobs/src/test/unloaded-jobs_test.ts
@@ -18,7 +18,7 @@
 const OTHER = jobSpec([stepSpec({ cpuMilli: 5_000 })], { id: OTHER_ID });
 
 /** A job that another node has started on a worker, and the start. */
-function begun(worker: string): { readonly job: JobProgress; readonly start: Order } {
+function startedElsewhere(worker: string): { readonly job: JobProgress; readonly start: Order } {
   const before = new SchedulerHarness([workerEntry(worker)]);
   const job = before.submit(OTHER);
   const [start] = before.starts();
@@ -27,7 +27,7 @@
 }
 
 test('what runs of a job that is not told yet goes on, and counts once it is told', () => {
-  const { job, start } = begun('w1');
+  const { job, start } = startedElsewhere('w1');
   const harness = new SchedulerHarness([workerEntry('w1')]);
   harness.scheduler.setFullyLoaded(false);
   harness.report('w1', { running: [runningRow(start)] });
@@ -39,7 +39,7 @@
 });
 
 test('what no job asks for is stopped once all jobs are told', () => {
-  const { start } = begun('w1');
+  const { start } = startedElsewhere('w1');
   const harness = new SchedulerHarness([workerEntry('w1')]);
   harness.scheduler.setFullyLoaded(false);
   harness.report('w1', { running: [runningRow(start)] });
@@ -50,7 +50,7 @@
 test('an end of a job that is not told yet is not acknowledged before it is told', () => {
   // Acknowledged, the end would be gone from the worker's list; the job, told later, would have the
   // task on that worker still, and it would run a second time.
-  const { job, start } = begun('w1');
+  const { job, start } = startedElsewhere('w1');
   const harness = new SchedulerHarness([workerEntry('w1')]);
   const report = { ended: [harness.end(start, 'done')] };
   harness.scheduler.setFullyLoaded(false);
@@ -64,7 +64,7 @@
 });
 
 test('a known task is not taken to be absent while its end stands behind one that is not told', () => {
-  const { start } = begun('w1');
+  const { start } = startedElsewhere('w1');
   const harness = new SchedulerHarness([workerEntry('w1')]);
   const job = harness.submit(jobSpec([stepSpec()]));
   const [known] = harness.starts();
@@ -83,7 +83,7 @@
 
 test('nothing starts beside what is not told yet, and elsewhere it does', () => {
   // How much room that takes is known only with the job.
-  const { start } = begun('w1');
+  const { start } = startedElsewhere('w1');
   const harness = new SchedulerHarness([workerEntry('w1')]);
   harness.scheduler.setFullyLoaded(false);
   harness.report('w1', { running: [runningRow(start)] });
@@ -97,7 +97,7 @@
 test('a job that is told later has the leases on silent workers that the earlier node named', () => {
   // The earlier node had told that leases on a worker that it could not reach last longer than those
   // of all others. Taken to be over with the others, the task would start a second time.
-  const { job } = begun('w1');
+  const { job } = startedElsewhere('w1');
   const harness = new SchedulerHarness([workerEntry('w2')]);
   const endMs = harness.nowMs + 30_000;
   harness.scheduler.inheritLeases(new Map([['w1', endMs]]));
--- a/packages/jobs/src/test/urgency_test.ts
+++ b/packages/jobs/src/test/urgency_test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { chainTails } from '../internal/urgency.js';
+import { criticalPathsMs } from '../internal/urgency.js';
 import { SchedulerHarness, jobSpec, stepSpec, workerEntry } from './scheduler-harness.js';
 
 test('the chain of a step runs through the steps that wait for it', () => {
   const [a, b, c] = [100, 200, 400].map((estimateMs) => stepSpec({ estimateMs }));
   const steps = [a!, { ...b!, after: [0] }, { ...c!, after: [0] }];
-  assert.deepEqual(chainTails(jobSpec(steps)), [500, 200, 400]);
+  assert.deepEqual(criticalPathsMs(jobSpec(steps)), [500, 200, 400]);
 });
 
 test('with room for one, a job that can still be in time goes before one that cannot', () => {
@@ -35,9 +35,9 @@
   const lasting = stepSpec({ lasting: true, taskCount: 2 });
   harness.submit(jobSpec([lasting], { id: '00000000000000a1', acceptedMs: 500 }));
   harness.submit(jobSpec([stepSpec()], { id: '00000000000000a2', acceptedMs: 900 }));
-  const [short] = harness.starts();
-  assert.equal(short!.task.jobId, '00000000000000a2');
-  harness.report('w1', { ended: [harness.end(short!, 'done')] });
+  const [shortStart] = harness.starts();
+  assert.equal(shortStart!.task.jobId, '00000000000000a2');
+  harness.report('w1', { ended: [harness.end(shortStart!, 'done')] });
   const [first] = harness.starts();
   assert.equal(first!.task.jobId, '00000000000000a1');
   harness.submit(jobSpec([stepSpec()], { id: '00000000000000a3', acceptedMs: 900 }));
--- a/packages/runtime/src/test/broken-work-records_test.ts
+++ b/packages/runtime/src/test/broken-work-records_test.ts
@@ -56,7 +56,7 @@
 function progress(change: (job: JobProgress) => void): string {
   const job = new JobProgress(SPEC);
   job.openDue(0);
-  job.begin();
+  job.markRunning();
   change(job);
   return job.encode();
 }
--- a/packages/runtime/src/test/job-fixtures.ts
+++ b/packages/runtime/src/test/job-fixtures.ts
@@ -14,6 +14,6 @@
 export function startedProgress(): JobProgress {
   const progress = new JobProgress(LONG_RUNNING_JOB);
   progress.openDue(Date.now());
-  progress.begin();
+  progress.markRunning();
   return progress;
 }
