--- a/packages/jobs/src/admission.ts
+++ b/packages/jobs/src/admission.ts
@@ -1,22 +1,25 @@
 import type { JobSpec, QueuePolicy } from './job.js';
 
 /**
- * In how many milliseconds callers had better come back, by lane that has more idle jobs than turns
- * for them. A job that is accepted all the same waits with nothing at work, or others do.
+ * For each capacity class that has more idle jobs than priority starts for them: the delay in
+ * milliseconds after which callers should retry. If a job is accepted nevertheless, that job or
+ * another one stays idle for longer than its allowance.
  */
 export type RetryAfter = Readonly<Record<string, number>>;
 
 /**
- * The tasks of a pool of workers that wait for the same room: best-effort tasks take what is left over
- * by those that reserve theirs, so a crowd of the one kind is no reason to keep the other out.
+ * Returns the name of a capacity class: the tasks of one worker pool that compete for the same
+ * capacity. Best-effort tasks use what the reserving tasks leave, so a backlog of one kind is no
+ * reason to reject jobs of the other.
  */
 export function capacityClassOf(pool: string, isBestEffort: boolean): string {
   return isBestEffort ? `${pool} best-effort` : `${pool} reserved`;
 }
 
 /**
- * In how many milliseconds a caller had better come back with a job; undefined where it can be taken
- * now. Jobs that last or are due later take no part in the turns.
+ * Returns how long a caller should wait before it submits the job again, in milliseconds; undefined
+ * if the job can be accepted now. Long-running and scheduled jobs have no priority starts and are
+ * always accepted.
  */
 export function retryDelayMs(
   { schedule, steps }: JobSpec,
--- a/packages/jobs/src/backlog.ts
+++ b/packages/jobs/src/backlog.ts
@@ -1,4 +1,4 @@
-/** What tasks take of the listed workers' processors. */
+/** The use of the listed workers' processors by tasks. */
 export interface Usage {
   /** The part that tasks have reserved, in percent. */
   readonly reservedPercent: number;
@@ -7,11 +7,11 @@
 }
 
 /**
- * Jobs that could go on and have nothing at work, and the room that there is meanwhile. Both together
- * tell a cluster that is full from one that leaves jobs alone.
+ * Idle jobs, and the use of the processors at the same time. Together they tell a cluster that is
+ * full from one that leaves jobs idle beside free capacity.
  */
 export interface Backlog extends Usage {
   readonly idleJobs: number;
-  /** For how long the one has been idle that waits longest, in milliseconds; 0 where none is. */
+  /** How long the longest-waiting job has been idle, in milliseconds; 0 if no job is idle. */
   readonly longestIdleMs: number;
 }
--- a/packages/jobs/src/internal/best-effort-parts.ts
+++ b/packages/jobs/src/internal/best-effort-parts.ts
@@ -1,6 +1,9 @@
 import type { WorkerState } from './worker-state.js';
 
-/** By filling image: the part of the worker's processors that its runs here used lately. */
+/**
+ * Returns, for each best-effort image, the part of the worker's processors that its runs used
+ * recently.
+ */
 export function usedParts(worker: WorkerState): Map<string, number> {
   const parts = new Map<string, number>();
   for (const { spec, confirmed, measure } of worker.runs.values()) {
@@ -12,7 +15,9 @@
   return parts;
 }
 
-/** By filling image: the part of the worker's processors that its runs here may use. */
+/**
+ * Returns, for each best-effort image, the part of the worker's processors that its runs may use.
+ */
 export function claimedParts(worker: WorkerState): Map<string, number> {
   const { cpuMilli } = worker.entry.capacity;
   const parts = new Map<string, number>();
--- a/packages/jobs/src/internal/capacity-hold.ts
+++ b/packages/jobs/src/internal/capacity-hold.ts
@@ -3,7 +3,10 @@
 import type { WaitingStep } from './waiting-steps.js';
 import type { WorkerState } from './worker-state.js';
 
-/** Room is held for one task for so long at most, in milliseconds: usually tasks end within seconds. */
+/**
+ * The longest time for which capacity is held for one task, in milliseconds: tasks usually end
+ * within seconds.
+ */
 const MAX_HOLD_MS = 10_000;
 
 interface ActiveHold {
@@ -13,39 +16,40 @@
 }
 
 /**
- * Room that is kept free on one worker for a large task of an overdue job. Under a steady load
- * smaller tasks take what comes free bit by bit, and a task that needs more than that never finds
- * room, whatever its turn. One worker at a time takes nothing else until the task fits.
+ * Keeps capacity free on one worker for a large task of a starved job. Under a steady load smaller
+ * tasks take each bit of capacity as it becomes free, and a task that needs more than that never
+ * fits, whatever its rank. One worker at a time takes no other task until the large one fits.
  */
 export class CapacityHold {
   #hold: ActiveHold | undefined;
 
-  /** Steps that found no room, in the order in which it is held for them. */
+  /** Steps that did not fit on any worker, in the order in which capacity is held for them. */
   readonly #queue = new Map<readonly TaskProgress[], WaitingStep>();
 
-  /** The worker that takes nothing but the task it is held for. */
+  /** The worker that takes only the task for which its capacity is held. */
   get worker(): WorkerState | undefined {
     return this.#hold?.worker;
   }
 
-  /** The step for which room is held. */
+  /** The step for which capacity is held. */
   get step(): WaitingStep | undefined {
     return this.#hold?.step;
   }
 
-  /** Gives up what is no longer needed, or was held for too long. */
+  /** Ends the hold if it is no longer needed or has lasted too long. */
   releaseStale(nowMs: number): void {
     if (this.#hold && !isHoldValid(this.#hold, nowMs)) this.#hold = undefined;
   }
 
-  /** A task of the step found no room. */
+  /** Queues a step of which a task did not fit on any worker. */
   add(step: WaitingStep): void {
     if (this.#hold?.step.tasks !== step.tasks) this.#queue.set(step.tasks, step);
   }
 
   /**
-   * Holds room for the next step, on the one of its workers with the most left; returns whether it
-   * has just begun to. `workersFor` tells on which workers room alone is missing.
+   * Holds capacity for the next step, on the worker with the most free processors. Returns whether
+   * a hold was started. `workersLackingCapacity` returns the workers that could take the step's
+   * tasks if they had the capacity.
    */
   start(
     workersLackingCapacity: (step: WaitingStep) => readonly WorkerState[],
--- a/packages/jobs/src/internal/cluster-state.ts
+++ b/packages/jobs/src/internal/cluster-state.ts
@@ -12,25 +12,25 @@
 import type { WorkerRun } from './worker-state.js';
 import { WorkerState } from './worker-state.js';
 
-/** Times and limits of the scheduling decisions, in milliseconds of the node's steady clock. */
+/** Times that govern scheduling decisions, in milliseconds of the node's monotonic clock. */
 export interface SchedulerTiming {
-  /** After its newest renewal, an unreachable worker's leases are over at the latest. */
+  /** After its latest renewal, the leases of an unreachable worker expire within this time. */
   readonly leaseMs: number;
-  /** At the start of a term: how long leases may last that an earlier node has given. */
+  /** At the start of a term: how long leases granted by an earlier leader may last. */
   readonly inheritedLeaseMs: number;
-  /** A run whose progress stands still for so long is stopped. */
+  /** A run that makes no progress for this time is stopped. */
   readonly stallTimeoutMs: number;
-  /** A stop that has not ended its run after so long is sent again. */
+  /** A stop is sent again if its run has not ended after this time. */
   readonly stopRetryMs: number;
 }
 
-/** A decision worth a line in the log. */
+/** Logs a scheduling decision. */
 export type EventLogger = (
   event: string,
   fields: Record<string, string | number | boolean>,
 ) => void;
 
-/** Jobs and workers as the scheduling node knows them, and what has changed since the last round. */
+/** Jobs and workers as known to the leader, and what has changed since the last round. */
 export class ClusterState {
   readonly timing: SchedulerTiming;
 
@@ -38,7 +38,7 @@
 
   readonly startedMs: number;
 
-  /** As of the newest round; ends of jobs are dated by it. */
+  /** Time of day of the latest round. Jobs that end get this time as their end. */
   timeOfDayMs = 0;
 
   readonly jobs = new Map<string, JobProgress>();
@@ -55,7 +55,7 @@
 
   readonly idleWaits: IdleWaitEstimator;
 
-  /** False while jobs that were begun before may not be told yet. */
+  /** False while jobs that were started earlier may not have been loaded yet. */
   isFullyLoaded = true;
 
   constructor(timing: SchedulerTiming, startedMs: number, logEvent: EventLogger) {
@@ -65,7 +65,7 @@
     this.logEvent = logEvent;
   }
 
-  /** Whether a job is not known that may have been begun. */
+  /** Returns whether the job is unknown but may have been started earlier. */
   isUnloaded(jobId: string): boolean {
     return !this.isFullyLoaded && !this.jobs.has(jobId);
   }
@@ -76,12 +76,15 @@
     return worker;
   }
 
-  /** The part of the listed workers' processors that tasks have reserved. */
+  /**
+   * Returns the share of the listed workers' processors that tasks have reserved, from 0 to 1; 1 if
+   * no worker is listed.
+   */
   reservedShare(): number {
     return this.#shareOf(({ cpuMilli }) => cpuMilli);
   }
 
-  /** What tasks take of the listed workers' processors. */
+  /** Returns the use of the listed workers' processors. */
   usage(): Usage {
     return {
       reservedPercent: Math.round(100 * this.reservedShare()),
@@ -107,7 +110,7 @@
     this.logJobEnd(job);
   }
 
-  /** A job has come to its end: how long it took, and how long it may have taken to be of full use. */
+  /** Logs the end of a job, with the time that it took and its objective. */
   logJobEnd({ spec, state, endedMs }: JobProgress): void {
     const queue = this.queues.get(spec.queue);
     this.logEvent('job-ended', {
@@ -119,7 +122,7 @@
     });
   }
 
-  /** The task runs nowhere any more and waits for its next start. */
+  /** Makes a task that no longer runs anywhere wait for its next start. */
   release(job: JobProgress, task: TaskProgress, checkpoint: string): void {
     task.phase = 'waiting';
     if (checkpoint) task.checkpoint = checkpoint;
@@ -139,7 +142,10 @@
     this.release(job, task, run.checkpoint);
   }
 
-  /** A stop that was sent before keeps its reason: what it led to is no reason of its own. */
+  /**
+   * Orders a run to stop. A repeated stop keeps the reason of the first one, because later reasons
+   * may only be consequences of that stop.
+   */
   stopRun(worker: WorkerState, run: WorkerRun, reason: StopReason, nowMs: number): void {
     const isRepeat = run.stopSentMs > 0;
     run.stopSentMs = nowMs;
--- a/packages/jobs/src/internal/common-period.ts
+++ b/packages/jobs/src/internal/common-period.ts
@@ -1,20 +1,23 @@
 import { PERIODS_MS } from './harmonic-fit.js';
 
-/** What one fit adds to the figures of all series. */
+/** The weight of one fit in the averages over all series. */
 const LEARNING_RATE = 0.01;
 
-/** How much the period that suits all series counts beside the one that suits a single one. */
+/** The weight of the averages over all series, relative to the errors of a single series. */
 const COMMON_WEIGHT = 5;
 
 /**
- * Which period series that are alike swing with. One series is too short and too noisy to tell
- * neighbouring periods apart; together they do.
+ * Estimates the period with which similar series oscillate. A single series is too short and too
+ * noisy to tell neighbouring periods apart; all series together suffice.
  */
 export class CommonPeriod {
-  /** By period: how much more it leaves unexplained than the others, in the mean over the fits. */
+  /**
+   * For each period: by how much its error exceeds the mean error of all periods, averaged over the
+   * fits.
+   */
   readonly #excess = PERIODS_MS.map(() => 0);
 
-  /** Takes in what each period leaves unexplained of one series. */
+  /** Updates the averages with the errors by period of one series. */
   learn(errors: readonly number[]): void {
     const mean = meanOf(errors);
     for (const [i, error] of errors.entries()) {
@@ -22,7 +25,7 @@
     }
   }
 
-  /** The index of the period that suits a series best, and the others with it. */
+  /** Returns the index of the period that fits best, for one series together with all others. */
   best(errors: readonly number[]): number {
     const scores = errors.map((error, i) => error + COMMON_WEIGHT * this.#excess[i]!);
     return scores.indexOf(Math.min(...scores));
--- a/packages/jobs/src/internal/evacuation.ts
+++ b/packages/jobs/src/internal/evacuation.ts
@@ -1,15 +1,16 @@
 import type { WorkerRun, WorkerState } from './worker-state.js';
 
 /**
- * So long before a worker leaves, tasks that save their progress are stopped there, in ms: a stop
- * may take nine tenths of a second, and its end must still be heard.
+ * How long before its worker leaves a task that saves checkpoints is stopped, in milliseconds: a
+ * stop may take 900 ms, and its end must still be received.
  */
 const CHECKPOINT_LEAD_MS = 1_200;
 
 /**
- * Whether a run must be stopped because its worker is about to leave. Lasting tasks go at once:
- * they are back at work elsewhere within moments, and would otherwise be away until the leases of
- * the worker are surely over. Others may still finish, and lose nothing by it if they save.
+ * Returns whether a run must be stopped because its worker is about to leave. Long-running tasks
+ * are stopped at once: they run elsewhere within moments, and would otherwise be unavailable until
+ * the leases of the worker have certainly expired. Other tasks may still finish, and lose no work
+ * if they save checkpoints.
  */
 export function mustEvacuate(worker: WorkerState, run: WorkerRun, nowMs: number): boolean {
   if (!worker.entry.draining || !worker.listed || !run.confirmed) return false;
--- a/packages/jobs/src/internal/halted-runs.ts
+++ b/packages/jobs/src/internal/halted-runs.ts
@@ -1,14 +1,15 @@
 import type { WorkerRun, WorkerState } from './worker-state.js';
 
-/** A run that may not work where it is: it holds its task there and gets nowhere. */
+/** A run that must not work on its worker: its task stays bound there and makes no progress. */
 export interface HaltedRun {
   readonly worker: WorkerState;
   readonly run: WorkerRun;
 }
 
 /**
- * By job: best-effort runs that were told not to work at all, beside a serving task near its target.
- * Those whose progress is saved are stopped at once; the others wait here for the load to fall.
+ * Returns, for each job, the best-effort runs that were ordered not to work at all, because a
+ * serving task on the same worker is near its target. Runs with saved progress are stopped at once;
+ * the others stay until the load falls.
  */
 export function haltedRuns(workers: Iterable<WorkerState>): ReadonlyMap<string, HaltedRun[]> {
   const byJob = new Map<string, HaltedRun[]>();
--- a/packages/jobs/src/internal/harmonic-fit.ts
+++ b/packages/jobs/src/internal/harmonic-fit.ts
@@ -1,26 +1,31 @@
-/** Periods that a load may swing with, in milliseconds, each 15% longer than the one before. */
+/**
+ * Periods with which a load may oscillate, in milliseconds, each 15% longer than the one before.
+ */
 export const PERIODS_MS: readonly number[] = Array.from(
   { length: 14 },
   (_, i) => 4_000 * 1.15 ** i,
 );
 
-/** After so long an observation counts a third, in milliseconds. */
+/** The age at which an observation has about a third (1/e) of its weight left, in milliseconds. */
 const DECAY_MS = 8_000;
 
-/** Pulls the swing towards none, in observations: what was hardly seen is no rhythm. */
+/**
+ * Ridge term that pulls the amplitude towards zero, in observations: a few observations do not
+ * establish an oscillation.
+ */
 const AMPLITUDE_RIDGE = 3;
 
-/** Pulls the mean towards the usual one, in observations. */
+/** Ridge term that pulls the mean towards the prior mean, in observations. */
 const MEAN_RIDGE = 1;
 
-/** A mean and a swing of one period, by least squares. */
+/** A mean and an oscillation with one period, fitted by least squares. */
 interface Harmonic {
   readonly mean: number;
   readonly cosine: number;
   readonly sine: number;
 }
 
-/** A value that counts as so many observations. */
+/** A value that counts as `weight` observations. */
 export interface Observation {
   readonly value: number;
   readonly weight: number;
@@ -39,8 +44,8 @@
 }
 
 /**
- * Least squares of a series as a mean and a swing, for every candidate period, with exponential
- * forgetting. The sums are all that is kept.
+ * Fits a series by least squares as a mean and an oscillation, for every candidate period, with
+ * exponential decay of the weights. Only the sums are stored.
  */
 export class HarmonicFit {
   readonly #sums: readonly Sums[] = PERIODS_MS.map(() => ({
@@ -58,7 +63,7 @@
 
   #harmonics: readonly Harmonic[] = [];
 
-  /** Takes in a value; the usual mean is that of other series. */
+  /** Adds an observation. `priorMean` is the usual mean of other series. */
   observe({ value, weight, atMs }: Observation, priorMean: number): void {
     const decay = Math.exp((this.#atMs - atMs) / DECAY_MS);
     this.#atMs = atMs;
@@ -80,12 +85,12 @@
     this.#harmonics = this.#sums.map((sums) => this.#solve(sums, priorMean));
   }
 
-  /** How much the observations count together. */
+  /** The total weight of the observations. */
   get weight(): number {
     return this.#weight;
   }
 
-  /** By period: the mean square of what it leaves unexplained. */
+  /** Returns the mean squared error of the fit for each period. */
   errors(): number[] {
     return this.#harmonics.map(({ mean, cosine, sine }, i) => {
       const { c, s, cc, cs, ss, yc, ys } = this.#sums[i]!;
@@ -99,14 +104,17 @@
     });
   }
 
-  /** The value at a time, with the period of this index. */
+  /** Returns the fitted value at a time, with the period of this index. */
   at(period: number, atMs: number): number {
     const { mean, cosine, sine } = this.#harmonics[period]!;
     const angle = (2 * Math.PI * atMs) / PERIODS_MS[period]!;
     return mean + cosine * Math.cos(angle) + sine * Math.sin(angle);
   }
 
-  /** Cramer's rule; the ridge on the diagonal keeps the determinant positive. */
+  /**
+   * Solves the normal equations by Cramer's rule; the ridge on the diagonal keeps the determinant
+   * positive.
+   */
   #solve({ c, s, cc, cs, ss, yc, ys }: Sums, priorMean: number): Harmonic {
     const a = this.#weight + MEAN_RIDGE;
     const y = this.#y + MEAN_RIDGE * priorMean;
--- a/packages/jobs/src/internal/idle-jobs.ts
+++ b/packages/jobs/src/internal/idle-jobs.ts
@@ -1,60 +1,71 @@
 import type { JobProgress } from '../job-progress.js';
 
-/** What idle jobs may have. */
+/** How long jobs may be idle, and how many starts are kept for starved jobs. */
 export interface IdleAllowance {
-  /** For how long a job may be idle before it is overdue, in milliseconds. */
+  /** How long a job may be idle before it is starved, in milliseconds. */
   readonly idleMs: number;
-  /** The part of all starts that overdue jobs may have before others. */
+  /** The share of all starts that starved jobs may have before other jobs. */
   readonly share: number;
 }
 
-/** While much of the processors is not reserved. */
+/** The allowance while many processors are not reserved. */
 const ALLOWANCE_WITH_CAPACITY: IdleAllowance = { idleMs: 2_000, share: 1 };
 
-/** Where nearly all processors are reserved. */
+/** The allowance while nearly all processors are reserved. */
 const ALLOWANCE_WHEN_FULL: IdleAllowance = { idleMs: 10_000, share: 0.15 };
 
-/** Up to this part of the processors reserved, much is not. */
+/** Up to this reserved share of the processors, `ALLOWANCE_WITH_CAPACITY` applies. */
 const AMPLE_CAPACITY_BELOW = 0.6;
 
-/** From this part on nearly all are. */
+/** From this reserved share on, `ALLOWANCE_WHEN_FULL` applies. */
 const FULL_ABOVE = 0.85;
 
-/** After this many times the idle time that it may have, a job takes a slow place as well. */
+/**
+ * A job that has been idle for this many times its allowance also accepts a worker on which it runs
+ * slowly.
+ */
 const LONG_STARVED_FACTOR = 1.25;
 
-/** Starts that overdue jobs may have saved up, so that a quiet hour earns them no burst. */
+/**
+ * The maximum number of priority starts that can be saved up, so that no burst follows a quiet
+ * hour.
+ */
 const MAX_START_CREDIT = 5;
 
-/** Places are looked for on behalf of so many overdue jobs in one round at most. */
+/** The maximum number of starved jobs for which a priority start is tried in one round. */
 const MAX_PRIORITY_STARTS = 16;
 
-/** A job that is idle for longer than this gets a line in the log, in milliseconds. */
+/** A job that is idle for longer than this is logged, in milliseconds. */
 const LOGGED_IDLE_MS = 3_000;
 
-/** The rank of the task of an overdue job. */
+/** The rank of a task that is a priority start of a starved job. */
 export const STARVED_RANK = 1;
 
-/** The rank of the task that an idle job is owed. */
+/** The rank of the first task of an idle job, ahead of the tasks of jobs that can only end late. */
 export const CATCH_UP_RANK = 4;
 
-/** A job with tasks to start and none at work. */
+/** A job with tasks ready to start and none running. */
 interface IdleJob {
   readonly sinceMs: number;
   isLogged: boolean;
-  /** Overdue jobs have their turns in the order of this: since when they are idle, or found no place. */
+  /**
+   * Starved jobs get their priority starts in the order of this time: when the job became idle, or
+   * was last passed over.
+   */
   queuedSinceMs: number;
 }
 
 /**
- * Jobs of which nothing is at work. By urgency alone a job that is late for good comes last in every
- * round, and under a steady load it never runs again. So of what cannot end in time, idle jobs come
- * first, and once one is overdue it comes before all but lasting tasks that were at work before. How
- * long that takes, and how many starts are left to others, goes by the part of the processors that is
- * reserved: with room to spare no load is a reason to leave a job alone.
+ * Tracks the jobs without a running task. By urgency alone, a job that can only end late would come
+ * last in every round, and under a steady load it would never run again. Therefore idle jobs come
+ * first among those that cannot end in time, and a starved job comes before everything except
+ * long-running tasks that were running before. After how long a job is starved, and how many starts
+ * are left to other jobs, depends on the reserved share of the processors: while there is free
+ * capacity, no load justifies an idle job.
  *
- * Overdue jobs take turns, the one that is idle longest first. In any other order those at the
- * front are overdue again before the last had a turn, and that one waits without bound.
+ * Starved jobs get their priority starts in turn, the one that has been idle longest first. In any
+ * other order the first ones would be starved again before the last one had its start, and the last
+ * one would wait without bound.
  */
 export class IdleJobs {
   readonly #idle = new WeakMap<JobProgress, IdleJob>();
@@ -63,46 +74,52 @@
 
   #startCredit = 0;
 
-  /** A round begins with this part of the processors reserved. */
+  /** Starts a round in which this share of the processors is reserved. */
   startRound(reservedShare: number): void {
     this.#allowance = allowanceAt(reservedShare);
   }
 
-  /** Looks at a job that could go on, of which so many tasks at workers are halted. */
+  /**
+   * Updates whether a job with tasks to start or halted is idle. `haltedCount` of its bound tasks
+   * are halted and do not count as running.
+   */
   update(job: JobProgress, haltedCount: number, nowMs: number): void {
     if (job.boundCount(haltedCount + 1) > haltedCount) this.#idle.delete(job);
     else if (!this.#idle.has(job)) this.markIdle(job, nowMs);
   }
 
-  /** The job is idle since then. */
+  /** Records that the job has been idle since the given time. */
   markIdle(job: JobProgress, sinceMs: number): void {
     this.#idle.set(job, { sinceMs, isLogged: false, queuedSinceMs: sinceMs });
   }
 
-  /** As of the newest round. */
+  /** The allowance of the latest round. */
   get allowance(): IdleAllowance {
     return this.#allowance;
   }
 
-  /** Whether a job is idle for longer than it may be. */
+  /** Returns whether the job has been idle for longer than its allowance. */
   isStarved(job: JobProgress, nowMs: number): boolean {
     const idleMs = this.idleMs(job, nowMs);
     return idleMs !== undefined && idleMs > this.#allowance.idleMs;
   }
 
-  /** Whether it is overdue for so long that any place is better than none. */
+  /** Returns whether the job has been idle for so long that any worker is better than none. */
   isLongStarved(job: JobProgress, nowMs: number): boolean {
     const idleMs = this.idleMs(job, nowMs);
     return idleMs !== undefined && idleMs > LONG_STARVED_FACTOR * this.#allowance.idleMs;
   }
 
-  /** For how long a job has been idle, in milliseconds; undefined where it is not. */
+  /** Returns how long the job has been idle, in milliseconds; undefined if it is not idle. */
   idleMs(job: JobProgress, nowMs: number): number | undefined {
     const idle = this.#idle.get(job);
     return idle && nowMs - idle.sinceMs;
   }
 
-  /** Whether a job is idle for long, and was not asked for since it is. */
+  /**
+   * Returns whether the job has been idle long enough to be logged. Returns true only once for each
+   * idle period.
+   */
   shouldLogIdle(job: JobProgress, nowMs: number): boolean {
     const idle = this.#idle.get(job);
     if (!idle || idle.isLogged || nowMs - idle.sinceMs <= LOGGED_IDLE_MS) return false;
@@ -110,7 +127,10 @@
     return true;
   }
 
-  /** The overdue jobs whose turn it is in this round, in the order of their turns. */
+  /**
+   * Returns the starved jobs that may have a priority start in this round, in the order of their
+   * starts.
+   */
   withPriorityStart(starved: readonly JobProgress[]): readonly JobProgress[] {
     if (this.#startCredit < 1) return [];
     return [...starved]
@@ -118,27 +138,27 @@
       .slice(0, MAX_PRIORITY_STARTS);
   }
 
-  /** Idle jobs with a lower value have their turns first. */
+  /** Returns the sort key of the job's priority start; idle jobs with a lower value come first. */
   queuedSinceMs(job: JobProgress): number {
     return this.#idle.get(job)?.queuedSinceMs ?? Infinity;
   }
 
-  /** Whether a task of an overdue job may still be started in this round. */
+  /** Returns whether a task of a starved job may still have a priority start in this round. */
   mayStart(job: JobProgress): boolean {
     return this.#startCredit >= 1 && this.#idle.has(job);
   }
 
   /**
-   * An overdue job found no place where others did after it. It waits behind the rest: jobs that can
-   * never be placed would otherwise take every turn. Where nobody finds a place it keeps its turn, as
-   * the next room that comes free may be its own.
+   * Puts a starved job behind the others, because it found no worker and a job after it did.
+   * Otherwise jobs that can never be placed would take every priority start. If no job finds a
+   * worker, the order stays: the next capacity that becomes free may suit the first job.
    */
   passedOver(job: JobProgress, nowMs: number): void {
     const idle = this.#idle.get(job);
     if (idle) idle.queuedSinceMs = nowMs;
   }
 
-  /** A task of a job was started, as an overdue one's or in the usual order. */
+  /** Records the start of a task, either as a priority start or in the usual order. */
   started(job: JobProgress, isPriorityStart: boolean): void {
     this.#idle.delete(job);
     const credit = this.#startCredit + this.#allowance.share - (isPriorityStart ? 1 : 0);
@@ -146,7 +166,10 @@
   }
 }
 
-/** Changes evenly from one allowance to the other: a few services more or fewer decide nothing. */
+/**
+ * Interpolates linearly between the two allowances, so that a few services more or fewer cause no
+ * abrupt change.
+ */
 function allowanceAt(reservedShare: number): IdleAllowance {
   const position = (reservedShare - AMPLE_CAPACITY_BELOW) / (FULL_ABOVE - AMPLE_CAPACITY_BELOW);
   const fraction = Math.max(0, Math.min(1, position));
--- a/packages/jobs/src/internal/idle-wait-estimator.ts
+++ b/packages/jobs/src/internal/idle-wait-estimator.ts
@@ -1,16 +1,19 @@
 import type { RetryAfter } from '../admission.js';
 import type { IdleAllowance } from './idle-jobs.js';
 
-/** Ends are counted over so long, in milliseconds. */
+/** The time over which ended tasks are counted, in milliseconds. */
 const WINDOW_MS = 4_000;
 
-/** Ends of so long are counted as one, in milliseconds. */
+/** Ends within this time are counted in one bucket, in milliseconds. */
 const BUCKET_MS = 250;
 
-/** Nothing is said of turns before ends were counted for so long, in milliseconds. */
+/** The time for which ends must have been counted before waits are estimated, in milliseconds. */
 const MIN_OBSERVED_MS = 1_000;
 
-/** Fewer idle jobs than this have their turns in one or two rounds, however few tasks end. */
+/**
+ * Fewer idle jobs than this get their priority starts within one or two rounds, however few tasks
+ * end.
+ */
 const MIN_IDLE_JOBS = 32;
 
 interface Bucket {
@@ -19,9 +22,10 @@
 }
 
 /**
- * How long idle jobs wait for their turns, by the tasks that ended in the last seconds: each makes room
- * for one more, while starts also fill what was empty. Only a share of these is for idle jobs, so with
- * too many of them each waits for longer than it may.
+ * Estimates how long idle jobs wait for their priority starts. The estimate is based on the tasks
+ * that ended in the last seconds, because each of them makes capacity for one more, whereas starts
+ * also use capacity that was free before. Only a share of the starts is for idle jobs, so with too
+ * many idle jobs each of them waits for longer than its allowance.
  */
 export class IdleWaitEstimator {
   readonly #sinceMs: number;
@@ -32,7 +36,7 @@
     this.#sinceMs = nowMs;
   }
 
-  /** A task of a lane has ended. */
+  /** Counts an ended task of a capacity class. */
   ended(capacityClass: string, nowMs: number): void {
     const buckets = this.#buckets.get(capacityClass) ?? [];
     this.#buckets.set(capacityClass, buckets);
@@ -43,8 +47,9 @@
   }
 
   /**
-   * By lane in which the turns of so many idle jobs take too long: in how many milliseconds they no
-   * longer do, if no job comes. Where nothing ends at all nothing is known of them.
+   * Returns, for each capacity class whose idle jobs wait too long, after how many milliseconds
+   * they no longer do if no job is added. A capacity class in which no task ends is left out,
+   * because nothing is known about its waits.
    */
   retryAfter(
     idleJobs: ReadonlyMap<string, number>,
--- a/packages/jobs/src/internal/interference-model.ts
+++ b/packages/jobs/src/internal/interference-model.ts
@@ -1,42 +1,56 @@
-/** What one sample keeps of its weight when the next of its image comes: interference shifts. */
+/**
+ * The part of its weight that a sample keeps when the next sample of its image is added:
+ * interference changes over time.
+ */
 const DECAY = 0.9995;
 
-/** Pulls what was hardly seen towards no disturbance; in squares of a host's part. */
+/**
+ * Ridge term that pulls weights with few samples towards zero interference, in squares of a host's
+ * part.
+ */
 const RIDGE = 0.05;
 
-/** Less slack than this, five times the target, says no more than that a tail is far over it. */
+/**
+ * The lower bound of slack, at a tail latency of five times the target: lower values say no more
+ * than that the tail latency is far over its target.
+ */
 const MIN_SLACK = 0.2;
 
-/** More slack than a task without any load has; such figures come from too few requests. */
+/**
+ * The upper bound of slack, more than a task without load has: higher values come from too few
+ * requests.
+ */
 const MAX_SLACK = 5;
 
-/** Samples of an image after which its weights are worked out again. */
+/** The number of samples of an image after which its weights are computed again. */
 const SOLVE_INTERVAL = 8;
 
-/** A filling image that used less than this part of a host tells nothing. */
+/**
+ * A best-effort image that used less than this part of a host is ignored, because it tells nothing.
+ */
 const MIN_NOTICEABLE_PART = 0.005;
 
 /**
- * How much weights that an earlier scheduling node learned count here, in squares of a host's
- * part: as much as twenty samples of an image that used a fourteenth of a host.
+ * The weight of values that an earlier leader learned, in squares of a host's part: as much as
+ * twenty samples of an image that used a fourteenth of a host.
  */
 const RESTORED_WEIGHT = 0.1;
 
-/** By serving image, the weights of filling images. */
+/** For each serving image: the weights of best-effort images. */
 export type InterferenceWeights = Readonly<Record<string, Readonly<Record<string, number>>>>;
 
-/** One measured tail and what filled the same worker at that time. */
+/** One measured tail latency, and the best-effort load on the same worker at that time. */
 export interface TailLatencySample {
   readonly image: string;
-  /** The slack of the tail, or how far it is from what the task's own load explains. */
+  /** The measured slack, or how far it is from the slack that the task's own load explains. */
   readonly slack: number;
-  /** By filling image: the part of the worker's processors that it used. */
+  /** For each best-effort image: the part of the worker's processors that it used. */
   readonly parts: ReadonlyMap<string, number>;
 }
 
-/** Least squares for one serving image, kept as sums so that no samples need to be. */
+/** Least squares for one serving image, stored as sums so that no samples need to be kept. */
 class ImageFit {
-  /** Filling images by the index of their weight; index 0 is the slack without any. */
+  /** Index of the weight of each best-effort image; index 0 is the slack without any of them. */
   readonly #indexes = new Map<string, number>();
 
   #products: number[][] = [[RIDGE]];
@@ -68,7 +82,7 @@
     return Math.max(0, this.#weights[index] ?? 0);
   }
 
-  /** Takes a weight for known until there are enough samples of it. */
+  /** Uses a weight that was learned earlier until there are enough samples. */
   restore(image: string, weight: number): void {
     const index = this.#indexOf(image);
     this.#products[index]![index]! += RESTORED_WEIGHT;
@@ -101,7 +115,10 @@
   }
 }
 
-/** Gaussian elimination; the ridge on the diagonal makes every pivot positive. */
+/**
+ * Solves a linear system by Gaussian elimination; the ridge on the diagonal makes every pivot
+ * positive.
+ */
 function solveLinear(rows: number[][]): number[] {
   const size = rows.length;
   for (let pivot = 0; pivot < size; pivot += 1) {
@@ -123,18 +140,18 @@
 }
 
 /**
- * The slack of a tail: the target as a multiple of it. A tail grows as the reciprocal of what is
- * left of its server, so the slack falls in proportion to what loads it; at 1 the tail is at its
- * target.
+ * Returns the slack for a tail latency that is `ratio` times its target: the reciprocal, within
+ * bounds. A tail latency grows as the reciprocal of the free capacity of its server, so the slack
+ * falls in proportion to the load; at a slack of 1 the tail latency equals its target.
  */
 export function slackOf(ratio: number): number {
   return Math.min(MAX_SLACK, Math.max(1 / ratio, MIN_SLACK));
 }
 
 /**
- * Learns how much slack each filling image takes from each serving image. The slack is taken as a
- * sum: what the image has by itself, less, for each filling image, a weight times the part of the
- * worker that it uses.
+ * Learns how much slack each best-effort image takes from each serving image. The slack is modelled
+ * as a sum: the slack of the serving image alone, minus, for each best-effort image, a weight times
+ * the part of the worker that it uses.
  */
 export class InterferenceModel {
   readonly #fits = new Map<string, ImageFit>();
@@ -143,7 +160,7 @@
     this.#fitOf(image).add(parts, -slack);
   }
 
-  /** Starts from what an earlier scheduling node has learned. */
+  /** Restores weights that an earlier leader learned. */
   restore(weights: InterferenceWeights): void {
     for (const [serving, byBestEffort] of Object.entries(weights)) {
       for (const [bestEffort, weight] of Object.entries(byBestEffort))
@@ -151,17 +168,17 @@
     }
   }
 
-  /** What has been learned so far, for a later scheduling node. */
+  /** Returns the weights learned until now, for a later leader. */
   weights(): InterferenceWeights {
     return Object.fromEntries([...this.#fits].map(([image, fit]) => [image, fit.weights()]));
   }
 
-  /** The slack that a whole host of the filling image would take. */
+  /** Returns the slack that the best-effort image would take if it used a whole host. */
   weight(serving: string, bestEffort: string): number {
     return this.#fits.get(serving)?.weightOf(bestEffort) ?? 0;
   }
 
-  /** The slack that these parts of a host take. */
+  /** Returns the slack that best-effort images take with the given parts of a host. */
   lostSlack(serving: string, parts: ReadonlyMap<string, number>): number {
     let sum = 0;
     for (const [bestEffort, part] of parts) sum += this.weight(serving, bestEffort) * part;
--- a/packages/jobs/src/internal/latency-headroom.ts
+++ b/packages/jobs/src/internal/latency-headroom.ts
@@ -4,30 +4,33 @@
 import type { WorkerState } from './worker-state.js';
 
 /**
- * The slack that serving tasks keep when filling tasks are placed beside them; 1 is a tail at its
- * target.
+ * The slack that serving tasks must keep when best-effort tasks are placed beside them; at 1 the
+ * tail latency equals its target.
  */
 const PLACING_SLACK = 1.2;
 
-/** So far ahead slack is expected, in ms: a task that is halted sooner has lost its start. */
+/**
+ * How far ahead slack is forecast, in milliseconds: a task that is halted sooner than this was
+ * started in vain.
+ */
 const FORECAST_MS = 2_500;
 
-/** The slack that is kept where a task of a job that starves is placed. */
+/** The slack that serving tasks must keep when a task of a starved job is placed beside them. */
 const STARVED_SLACK = 1.15;
 
-/** Taking less slack than this is not worth a thought. */
+/** Interference that takes less slack than this is ignored. */
 const NEGLIGIBLE_INTERFERENCE = 0.05;
 
 interface CachedHeadroom {
   readonly version: number;
-  /** By serving image: the least room of its tasks on the worker. */
+  /** For each serving image: the least headroom of its tasks on the worker. */
   readonly byImage: ReadonlyMap<string, number>;
 }
 
 /**
- * How much more slack filling tasks may take from the serving tasks of a worker. It goes by the
- * tails as they are now, not by their usual value: an image that disturbs much fits beside serving
- * tasks that have little to do for a while, and nowhere else.
+ * How much more slack best-effort tasks may take from the serving tasks of a worker. It is based on
+ * the current tail latencies, not on their usual values: an image that interferes strongly fits
+ * only beside serving tasks whose load is low for a while.
  */
 export class LatencyHeadroom {
   readonly #model: TailLatencyModel;
@@ -38,7 +41,10 @@
     this.#model = model;
   }
 
-  /** What is left after a task of the step is started there; Infinity if it disturbs nobody. */
+  /**
+   * Returns the headroom that is left after a task of the step is started on the worker; Infinity
+   * if it interferes with no serving task.
+   */
   headroomWith(spec: StepSpec, worker: WorkerState, nowMs: number): number {
     const part = spec.cpuMilli / worker.entry.capacity.cpuMilli;
     let minHeadroom = Infinity;
@@ -49,7 +55,10 @@
     return minHeadroom;
   }
 
-  /** The share of its speed at which a task of the step could work there, with all beside it. */
+  /**
+   * Returns the share of its speed at which a task of the step could run on the worker, together
+   * with all tasks that are there.
+   */
   speedWith(spec: StepSpec, worker: WorkerState, nowMs: number): number {
     const parts = claimedParts(worker);
     const { cpuMilli } = worker.entry.capacity;
--- a/packages/jobs/src/internal/obstacle.ts
+++ b/packages/jobs/src/internal/obstacle.ts
@@ -1,19 +1,20 @@
 /**
- * What keeps a task from a worker.
+ * Why a worker cannot take a task.
  *
- * - `closed`: the worker takes nothing now: it leaves, does not answer, or is suspected.
+ * - `closed`: the worker takes no tasks now: it is leaving, does not answer, is suspected, or has
+ *   just rejected a start for lack of capacity.
  * - `label`: it lacks a label that the task requires.
- * - `room`: what is reserved there leaves too little.
+ * - `room`: its unreserved capacity is too small.
  * - `harmed`: a serving task there misses its target; only best-effort tasks are kept away.
- * - `processors`: the best-effort tasks there use all that the others leave.
- * - `slack`: the tails of the serving tasks leave no room for one more best-effort task.
+ * - `processors`: the best-effort tasks there use all processors that other tasks leave.
+ * - `slack`: the serving tasks there have no latency headroom for one more best-effort task.
  */
 export type Obstacle = 'closed' | 'label' | 'room' | 'harmed' | 'processors' | 'slack';
 
-/** What keeps the tasks of a step waiting: an obstacle, `limits` of the rounds, or nothing known. */
+/** Why the tasks of a step wait: an obstacle, the `limits` of the rounds, or no known cause. */
 export type WaitCause = Obstacle | 'limits' | 'none';
 
-/** The obstacle that most workers have; `closed` where there is no worker at all. */
+/** Returns the most frequent obstacle; `closed` if there are no obstacles. */
 export function mostFrequent(obstacles: Iterable<Obstacle>): Obstacle {
   const counts = new Map<Obstacle, number>();
   for (const obstacle of obstacles) counts.set(obstacle, (counts.get(obstacle) ?? 0) + 1);
--- a/packages/jobs/src/internal/pacing.ts
+++ b/packages/jobs/src/internal/pacing.ts
@@ -4,43 +4,59 @@
 import type { WorkerRun, WorkerState } from './worker-state.js';
 
 /**
- * Filling tasks work as fast as leaves serving tasks this slack; 1 is a tail at its target. It goes
- * by the slack expected in a second. A little less than is kept when placing, so that what was just
- * placed may work.
+ * Best-effort tasks run as fast as they can while serving tasks keep this slack; at 1 the tail
+ * latency equals its target. It applies to the slack forecast for the next second. It is a little
+ * less than the slack required for placement, so that a task that was just placed may run.
  */
 const PACING_SLACK = 1.15;
 
-/** So far ahead slack is expected, in ms: until the next report a second may pass. */
+/** How far ahead slack is forecast, in milliseconds: the next report may come a second later. */
 const FORECAST_MS = 1_000;
 
-/** Above this part of its target a tail is too long: what disturbs it works slower at once. */
+/**
+ * Above this part of its target a tail latency is too long: tasks that interfere with it are slowed
+ * down at once.
+ */
 const NEAR_TARGET_RATIO = 0.9;
 
 /** Paces are multiples of this, in percent; a smaller change is not worth a call. */
 const PACE_STEP = 10;
 
-/** A task slower than this holds its memory and gets nowhere: it is halted, in percent. */
+/**
+ * A task below this pace, in percent, would occupy its memory with almost no progress; it is halted
+ * instead.
+ */
 const MIN_PACE = 50;
 
-/** The tail is measured over half a second; a change shows after that and one renewal, in ms. */
+/**
+ * The time until a change of pace shows, in milliseconds: the tail latency is measured over half a
+ * second, and then one renewal follows.
+ */
 const SETTLE_MS = 700;
 
-/** Disturbing images wait longer before they speed up: the load swings within seconds. */
+/**
+ * How long images that interfere wait before they are sped up, in milliseconds. It is longer than
+ * for others, because the load oscillates within seconds.
+ */
 const SPEED_UP_DELAY_MS = 1_200;
 
-/** A filling image that takes less slack than this is not to blame for a tail. */
+/**
+ * A best-effort image that takes less slack than this is not considered as the cause of a long tail
+ * latency.
+ */
 const MIN_BLAMED_SLACK = 0.1;
 
 /**
- * The share of their speed that filling tasks keep beside a missed target with no known cause. It
- * may be the serving task's own load, and then a halt would help nobody; where it is not, the halt
- * after `HALT_MS` follows.
+ * The share of their speed that best-effort tasks keep beside a serving task that misses its target
+ * without a known cause. The cause may be the serving task's own load, and then a halt would not
+ * help; if it is not, the halt after `HALT_AFTER_MS` follows.
  */
 const UNKNOWN_CAUSE_LIMIT = 0.5;
 
 /**
- * A target missed for so long halts every filling task beside it, in ms: the causes that are
- * known were halted before and did not suffice, and users notice a few seconds.
+ * How long a target may be missed before every best-effort task on the worker is halted, in
+ * milliseconds. By then the known causes have been halted without enough effect, and users notice a
+ * few seconds.
  */
 const HALT_AFTER_MS = 1_200;
 
@@ -51,11 +67,12 @@
 }
 
 /**
- * Which filling tasks must work slower, or may work faster, from the tails of the serving tasks
- * beside them. Images known to lengthen a tail work at the share of their speed at which the tail
- * is expected to be in bounds; where no known cause is found or that does not help soon, every
- * filling task is halted: a target missed for seconds on end is what the serving tasks' own users
- * notice. The harmless ones go on as soon as no target is missed.
+ * Chooses which best-effort tasks must run slower or may run faster, from the tail latencies of the
+ * serving tasks on the same worker. Images that are known to interfere run at the share of their
+ * speed at which the tail latency is expected to stay within bounds. If no cause is known, or if
+ * that does not help soon, every best-effort task is halted, because the users of the serving tasks
+ * notice a target that is missed for seconds. Tasks that do not interfere continue as soon as no
+ * target is missed.
  */
 export function choosePaces(
   worker: WorkerState,
@@ -77,7 +94,7 @@
   return changes;
 }
 
-/** The tail as a part of its target. */
+/** Returns the tail latency divided by its target. */
 function targetRatioOf({ measure, spec }: WorkerRun): number {
   return measure / spec.targetMs;
 }
@@ -89,7 +106,10 @@
   return false;
 }
 
-/** By filling image that disturbs a tail here: the share of its speed that the tail allows. */
+/**
+ * Returns, for each best-effort image that interferes with a serving task here, the share of its
+ * speed that the tail latency permits.
+ */
 function limitsOf(
   worker: WorkerState,
   serving: readonly WorkerRun[],
@@ -114,7 +134,7 @@
 
 interface Interference {
   readonly image: string;
-  /** The slack that the image's runs here take when they work at full speed. */
+  /** The slack that the image's runs here take when they run at full speed. */
   readonly lostSlack: number;
 }
 
--- a/packages/jobs/src/internal/placement.ts
+++ b/packages/jobs/src/internal/placement.ts
@@ -4,25 +4,28 @@
 import { LatencyHeadroom } from './latency-headroom.js';
 import type { WorkerState } from './worker-state.js';
 
-/** A worker that has not answered for so long gets nothing new, in ms: two renewals missed. */
+/**
+ * A worker that has not answered for this time gets no new tasks, in milliseconds: two renewals
+ * missed.
+ */
 export const SILENT_MS = 1_800;
 
-/** Judges places for tasks. */
+/** Rates workers for tasks. */
 export abstract class PlacementPolicy {
   /**
-   * How good a place on an otherwise fitting worker is for a task of the step, larger is better,
-   * or what keeps it from there. Steps of one kind (`kindOf`) are worth the same.
+   * Returns how well an otherwise fitting worker suits a task of the step (larger is better), or
+   * the obstacle that keeps the task away. Steps of one kind (`kindOf`) have the same score.
    */
   protected abstract score(spec: StepSpec, worker: WorkerState, nowMs: number): number | Obstacle;
 
-  /** The same for a task of a job that starves: better it works slowly than not at all. */
+  /** Like `score`, for a task of a starved job, which had better run slowly than not at all. */
   protected abstract starvedScore(
     spec: StepSpec,
     worker: WorkerState,
     nowMs: number,
   ): number | Obstacle;
 
-  /** The same for any worker, also where it takes nothing or has no room. */
+  /** Like `score`, for any worker, including those that are closed or lack capacity. */
   evaluate(
     spec: StepSpec,
     worker: WorkerState,
@@ -38,7 +41,10 @@
 
 const kinds = new WeakMap<StepSpec, string>();
 
-/** The same text for steps whose tasks can run on the same workers, and are worth the same there. */
+/**
+ * Returns the same text for steps whose tasks can run on the same workers and have the same scores
+ * there.
+ */
 export function kindOf(spec: StepSpec): string {
   const known = kinds.get(spec);
   if (known !== undefined) return known;
@@ -63,33 +69,40 @@
 }
 
 /**
- * Serving tasks are believed to use this part of their claim on average when filling tasks are
- * placed beside them; the rest is left over for these.
+ * The part of their claim that serving tasks are assumed to use on average when best-effort tasks
+ * are placed beside them; the rest is available to the best-effort tasks.
  */
 const SERVING_UTILISATION = 0.5;
 
-/** What a rack with the step's data is worth against free processor time, in thousandths of a core. */
+/**
+ * What a worker in the rack with the step's data adds to the score, in thousandths of a core of
+ * free processor time.
+ */
 const RACK_BONUS = 20_000;
 
-/** What company of the same image is worth to a serving task, in thousandths of a core each. */
+/**
+ * What each serving task of the same image on the worker adds to the score of a serving task, in
+ * thousandths of a core.
+ */
 const SAME_IMAGE_BONUS = 6_000;
 
 /**
- * What company of each other image costs it: more than any free processors are worth. An image that
- * disturbs either of two is kept from a worker that has both.
+ * What each other serving image on the worker takes from the score of a serving task: more than any
+ * free processors are worth. A best-effort image that interferes with either of two serving images
+ * is kept away from a worker that has both.
  */
 const OTHER_IMAGE_COST = 20_000;
 
-/** A task of a job that starves goes where it can work at this share of its speed at least. */
+/** The least share of its speed at which a task of a starved job is placed. */
 const MIN_STARVED_SPEED = 0.3;
 
 /** Larger than any score, in thousandths of a core. */
 const STARVED_COST = 10_000_000;
 
 /**
- * Puts each task where the most is left over; serving tasks beside others of their image, so that
- * few workers are closed to any one filling image; and filling tasks only where the tails of the
- * serving tasks leave room for them.
+ * Places each task on the worker with the most free capacity (worst fit). Serving tasks are placed
+ * beside others of their image, so that few workers are closed to any one best-effort image.
+ * Best-effort tasks are placed only where the serving tasks have latency headroom for them.
  */
 export class WorstFit extends PlacementPolicy {
   readonly #headroom: LatencyHeadroom;
@@ -114,7 +127,7 @@
     const score = this.score(spec, worker, nowMs);
     if (typeof score === 'number' || score === 'harmed') return score;
     const share = this.#headroom.speedWith(spec, worker, nowMs);
-    // Below every place where it could work at full speed.
+    // Lower than the score of every worker on which the task could run at full speed.
     return share < MIN_STARVED_SPEED ? score : (share - 2) * STARVED_COST;
   }
 
@@ -126,7 +139,7 @@
     if (left < spec.cpuMilli) return 'processors';
     const headroom = this.#headroom.headroomWith(spec, worker, nowMs);
     if (headroom < 0) return 'slack';
-    // One unit of slack to spare is worth as much as a whole empty worker, and more is no use.
+    // One unit of headroom is worth as much as a whole empty worker; more headroom adds nothing.
     return left + Math.min(1, headroom) * cpuMilli;
   }
 }
--- a/packages/jobs/src/internal/progress-record.ts
+++ b/packages/jobs/src/internal/progress-record.ts
@@ -1,20 +1,20 @@
 import type { JobSpec, JobState } from '../job.js';
 import type { TaskPhase } from '../job-progress.js';
 
-/** 0: never started; 1: done; else the phase's number, run, worker, failures and checkpoint. */
+/** 0: never started; 1: done; otherwise the phase's index, run, worker, failures and checkpoint. */
 export type TaskTuple = 0 | 1 | [number, number, string, number, string];
 
-/** How a job's progress is stored. */
+/** The stored form of a job's progress. */
 export interface ProgressRecord {
   s: JobState;
-  /** When the job reached a final state. */
+  /** When the job reached a final state, as time of day in milliseconds. */
   e?: number;
-  /** Occurrences with a smaller number are over, or under way and listed. */
+  /** Occurrences with a smaller number have ended, or are open and listed in `o`. */
   b: number;
   o: [number, TaskTuple[][]][];
 }
 
-/** The phases by their number in a record. */
+/** The phases; a record stores their indexes. */
 export const PHASES: readonly TaskPhase[] = ['waiting', 'bound', 'done', 'failed'];
 
 const STATES: readonly unknown[] = [
@@ -26,9 +26,9 @@
 ] satisfies JobState[];
 
 /**
- * The progress of a job as it was stored; undefined for a text that is none, or not of this job.
- * Every part is looked at: a scheduling node that meets a task which is not there, or a run without
- * a worker, would fail at it in each round, and nobody's tasks would begin.
+ * Parses the stored progress of a job. Returns undefined if the text is not progress, or not of
+ * this job. Every part is checked: a leader that found a task that does not exist, or a run without
+ * a worker, would fail in each round, and no job's tasks would start.
  */
 export function parseProgress(spec: JobSpec, text: string): ProgressRecord | undefined {
   const rec = parseJson(text) as Partial<ProgressRecord> | null | undefined;
--- a/packages/jobs/src/internal/report-reader.ts
+++ b/packages/jobs/src/internal/report-reader.ts
@@ -11,13 +11,15 @@
 import { findTask, newRun } from './runs.js';
 import type { WorkerState } from './worker-state.js';
 
-/** Where a queue is not known any more, jobs keep the usual number of attempts. */
+/** The maximum number of attempts of a task whose queue is no longer known. */
 const DEFAULT_ATTEMPTS = 3;
 
-/** So many ends at most stand in one report; in a full one others may be missing. */
+/** The maximum number of ends in one report; a report with this many may omit others. */
 const MAX_REPORTED_ENDS = 500;
 
-/** Works the reports of workers into the jobs: what runs, what has ended, what never began. */
+/**
+ * Applies workers' reports to the jobs: which runs are running, have ended, or were never started.
+ */
 export class ReportReader {
   readonly #state: ClusterState;
 
@@ -28,7 +30,7 @@
     this.#model = model;
   }
 
-  /** Takes in one report; it was asked for at `askedMs`. */
+  /** Applies one report, which was requested at `askedMs`. */
   read(worker: WorkerState, report: WorkerReport, askedMs: number, nowMs: number): void {
     Object.assign(worker, { answeredMs: nowMs });
     if (!worker.fenced) this.#markFenced(worker, report, nowMs);
@@ -71,7 +73,7 @@
     }
   }
 
-  /** A run that no job asks for: from before a lapse, or of a job that is long over. */
+  /** Adds a run that no job needs: from before a lease expired, or of a job that ended long ago. */
   #addOrphanedRun(worker: WorkerState, row: RunningRow, nowMs: number): void {
     const ref = parseTaskName(row.task);
     if (!ref) return;
@@ -83,8 +85,9 @@
   }
 
   /**
-   * Whether all of them could be read. The end of a job that is not told yet would be acknowledged,
-   * and its task run again; so it is left on the worker's list, with those after it.
+   * Applies ends, and returns whether all of them were applied. If the end of a job that is not yet
+   * loaded were acknowledged, its task would run again; therefore that end and those after it stay
+   * on the worker's list.
    */
   #readEnds(worker: WorkerState, ended: readonly EndedRow[], nowMs: number): boolean {
     for (const row of ended) {
@@ -135,8 +138,8 @@
   }
 
   /**
-   * A run that was given up has ended well after all: its worker was out of reach until its leases
-   * were over. The task is done, and a later run of it is not needed.
+   * Completes a task whose abandoned run has succeeded after all: its worker was unreachable until
+   * its leases expired. A later run of the task is not needed.
    */
   #completeLate(job: JobProgress, ref: TaskRef, task: TaskProgress): void {
     const spec = job.spec.steps[ref.step]!;
@@ -196,7 +199,10 @@
     }
   }
 
-  /** From now on no earlier node's call takes effect there, so its leases end with the longest. */
+  /**
+   * Records that calls of earlier leaders no longer take effect at the worker, so that all of its
+   * leases expire within `leaseMs`.
+   */
   #markFenced(worker: WorkerState, report: WorkerReport, nowMs: number): void {
     Object.assign(worker, { fenced: true, leaseEndMs: nowMs + this.#state.timing.leaseMs });
     this.#state.logEvent('worker-fenced', {
--- a/packages/jobs/src/internal/round-candidates.ts
+++ b/packages/jobs/src/internal/round-candidates.ts
@@ -6,26 +6,26 @@
 import { kindOf } from './placement.js';
 import type { WorkerState } from './worker-state.js';
 
-/** Larger than any difference of scores, so that a place to avoid is the last choice. */
+/** Larger than any difference of scores, so that a worker to avoid is the last choice. */
 const AVOID_PENALTY = 1_000_000;
 
-/** What a task is to be placed for. */
+/** A task to be placed. */
 export interface PlacementRequest {
   readonly ref: TaskRef;
   readonly spec: StepSpec;
-  /** Where it failed or was lost before; avoided if there is another place. */
+  /** The worker on which the task failed or was lost before; it is avoided if there is another. */
   readonly avoid: string;
 }
 
 interface Candidate {
   readonly worker: WorkerState;
-  /** The worker's version when it was looked at. */
+  /** The worker's version when it was evaluated. */
   version: number;
-  /** How good it is, or what keeps the tasks from there. */
+  /** The score of the worker, or the obstacle that keeps the tasks away. */
   score: number | Obstacle;
 }
 
-/** The places for tasks of one kind. */
+/** The candidate workers for tasks of one kind. */
 export class Candidates {
   readonly #candidates: readonly Candidate[];
 
@@ -33,7 +33,7 @@
 
   #isExhausted = false;
 
-  /** Known until a place is looked at again. */
+  /** Cached until a candidate is evaluated again. */
   #obstacle: Obstacle | undefined;
 
   constructor(
@@ -48,7 +48,7 @@
     }));
   }
 
-  /** The best of the workers that may take the task now. */
+  /** Returns the best of the workers that can take the task now; undefined if there is none. */
   choose({ ref, spec, avoid }: PlacementRequest): WorkerState | undefined {
     if (this.#isExhausted) return undefined;
     let best: WorkerState | undefined;
@@ -70,7 +70,7 @@
     return best;
   }
 
-  /** What keeps the tasks from most workers. */
+  /** The obstacle that most workers have. */
   get obstacle(): Obstacle {
     if (this.#obstacle === undefined) {
       const scores = this.#candidates.map(({ score }) => score);
@@ -79,7 +79,7 @@
     return this.#obstacle;
   }
 
-  /** How many workers each obstacle keeps the tasks from; `open` ones would take one. */
+  /** Returns the number of workers by obstacle; those that would take a task count as `open`. */
   counts(): Record<string, number> {
     const counts: Record<string, number> = {};
     for (const { score } of this.#candidates) {
@@ -89,7 +89,7 @@
     return counts;
   }
 
-  /** What was placed on trial has been taken back. */
+  /** Records that tentative placements were undone. */
   capacityReturned(): void {
     this.#isExhausted = false;
   }
@@ -110,10 +110,10 @@
 }
 
 /**
- * The places for tasks within one round of decisions. Workers change there by what is placed alone,
- * so each is looked at once for every kind of task, and again after something was placed on it.
- * A look at all of them for every task that waits took a node with a third of a core seconds after
- * a takeover; it renewed no lease meanwhile, and was taken for dead.
+ * The candidate workers for tasks within one round. During a round workers change only by
+ * placements, so each worker is evaluated once for every kind of task, and again after a task was
+ * placed on it. After a takeover, evaluating all of them for every waiting task takes seconds on a
+ * node with a third of a core; the node renews no lease meanwhile and is considered dead.
  */
 export class RoundCandidates {
   readonly #workersByPool = new Map<string, WorkerState[]>();
@@ -134,7 +134,7 @@
     }
   }
 
-  /** The places for tasks of a step in the workers of a pool. */
+  /** Returns the candidates for tasks of a step among the workers of a pool. */
   of(spec: StepSpec, pool: string, isStarved: boolean): Candidates {
     const key = `${kindOf(spec)} ${pool} ${isStarved}`;
     const known = this.#byKind.get(key);
--- a/packages/jobs/src/internal/round-limits.ts
+++ b/packages/jobs/src/internal/round-limits.ts
@@ -1,8 +1,11 @@
-/** How much one round may place; the rest waits for the next ones. */
+/** Limits the placement work of one round; the rest waits for the next rounds. */
 export interface RoundLimits {
-  /** How long it may look for places, in milliseconds of `clockMs`. */
+  /** The time for which the round may place tasks, in milliseconds of `clockMs`. */
   readonly placingMs: number;
-  /** How many starts it may order. A gang is started whole or not at all, beyond this too. */
+  /**
+   * The number of starts that the round may order. A gang is started as a whole or not at all, even
+   * beyond this number.
+   */
   readonly starts: number;
   readonly clockMs: () => number;
 }
@@ -13,7 +16,7 @@
   clockMs: () => 0,
 };
 
-/** Watches the limits of a round from the time when it begins to place. */
+/** Tracks the limits of a round from the time at which placement starts. */
 export class RoundBudget {
   readonly #limits: RoundLimits;
 
--- a/packages/jobs/src/internal/runs.ts
+++ b/packages/jobs/src/internal/runs.ts
@@ -4,7 +4,7 @@
 import type { WorkerEntry } from '../worker.js';
 import type { WorkerRun } from './worker-state.js';
 
-/** Every task of a job that runs on a worker, or may. */
+/** Yields every task of a job that runs on a worker or may run there. */
 export function* boundTasks(job: JobProgress): Generator<[TaskRef, TaskProgress]> {
   for (const { number, steps } of job.occurrences.values()) {
     for (const [step, tasks] of steps.entries()) {
@@ -16,12 +16,12 @@
   }
 }
 
-/** The progress of one task; undefined where its occurrence is over. */
+/** Returns the progress of one task; undefined if its occurrence has ended. */
 export function findTask(job: JobProgress, ref: TaskRef): TaskProgress | undefined {
   return job.occurrences.get(ref.occurrence)?.steps[ref.step]?.[ref.index];
 }
 
-/** A run that is about to be ordered. */
+/** Returns the state of a run that is about to be ordered. */
 export function newRun(
   ref: TaskRef,
   { run, checkpoint }: Pick<TaskProgress, 'run' | 'checkpoint'>,
@@ -47,7 +47,7 @@
   };
 }
 
-/** Stands for a worker that records name but the store does not list. */
+/** Returns an entry for a worker that is named in records but not listed by the store. */
 export function unlistedEntry(id: string): WorkerEntry {
   return {
     id,
--- a/packages/jobs/src/internal/serving-loads.ts
+++ b/packages/jobs/src/internal/serving-loads.ts
@@ -2,23 +2,25 @@
 import { CommonPeriod } from './common-period.js';
 import { StepLoad } from './step-load.js';
 
-/** A load not measured for so long tells nothing of now, in milliseconds. */
+/** A load that was last measured longer ago than this is ignored, in milliseconds. */
 const STALE_MS = 2_500;
 
-/** The usual slack of a step, until some were observed. */
+/** The prior slack of a step before any was observed. */
 const INITIAL_PRIOR_SLACK = 1.7;
 
-/** What one observation adds to the usual slack. */
+/** The weight of one observation in the prior slack. */
 const PRIOR_LEARNING_RATE = 0.002;
 
 /**
- * The load of lasting steps that serve callers of their own, as the slack that their tails would
- * have with nothing beside them. The tasks of one step share their callers, so their loads swing
- * together, while each single figure is rough. Without this the swing of a task's own load was
- * taken for the doing of whatever happened to work beside it, and the other way round.
+ * The load of long-running steps that serve callers, expressed as the slack that their tail
+ * latencies would have without best-effort tasks on the same workers. The tasks of one step share
+ * their callers, so their loads oscillate together, while each single measurement is rough. Without
+ * this model, an oscillation of a task's own load would be attributed to the tasks that happen to
+ * run beside it, and the other way round.
  *
- * What is started beside a serving task works for seconds, and a swing turns within these. So the
- * swing itself is fitted: its trend alone, drawn out that far, is worse than the mean.
+ * A task that is started beside a serving task runs for seconds, and an oscillation turns within
+ * that time. Therefore the oscillation itself is fitted: its trend alone, extrapolated that far, is
+ * worse than the mean.
  */
 export class ServingLoads {
   readonly #loads = new Map<string, StepLoad>();
@@ -27,7 +29,7 @@
 
   #priorSlack = INITIAL_PRIOR_SLACK;
 
-  /** One task of the step would have had this slack with nothing beside it. */
+  /** Records the slack that one task of the step would have had without interference. */
   observe(ref: TaskRef, slack: number, nowMs: number): void {
     this.#priorSlack += (slack - this.#priorSlack) * PRIOR_LEARNING_RATE;
     const load = this.#recent(ref, nowMs);
@@ -39,12 +41,18 @@
     this.#loads.set(stepKey(ref), new StepLoad(slack, nowMs, this.#period));
   }
 
-  /** The slack that the step's tails would have now; undefined if nothing recent is known. */
+  /**
+   * Returns the slack that the step's tail latencies would have now without interference; undefined
+   * if there is no recent observation.
+   */
   currentSlack(ref: TaskRef, nowMs: number): number | undefined {
     return this.#recent(ref, nowMs)?.level;
   }
 
-  /** The least slack that the step's tails are expected to have within so many milliseconds. */
+  /**
+   * Returns the least slack that the step's tail latencies are expected to have within `aheadMs`
+   * without interference; undefined if there is no recent observation.
+   */
   minSlackAhead(ref: TaskRef, nowMs: number, aheadMs: number): number | undefined {
     return this.#recent(ref, nowMs)?.minSlackAhead(nowMs, aheadMs);
   }
--- a/packages/jobs/src/internal/step-load.ts
+++ b/packages/jobs/src/internal/step-load.ts
@@ -1,28 +1,37 @@
 import type { CommonPeriod } from './common-period.js';
 import { HarmonicFit } from './harmonic-fit.js';
 
-/** How fast the level follows what is measured, in milliseconds: a handful of reports count. */
+/**
+ * The time constant with which the level follows the measurements, in milliseconds: a handful of
+ * reports count.
+ */
 const LEVEL_TIME_CONSTANT_MS = 400;
 
-/** The same for the slow level, from whose distance the trend is read. */
+/**
+ * The time constant of the slow level, in milliseconds. The trend is derived from the difference
+ * between the two levels.
+ */
 const SLOW_LEVEL_TIME_CONSTANT_MS = 1_200;
 
-/** So far ahead the trend is drawn out, in milliseconds; further on it misleads. */
+/** How far ahead the trend is extrapolated, in milliseconds; further ahead it is misleading. */
 const TREND_HORIZON_MS = 1_000;
 
-/** Reports that come at the same moment count as if they were so far apart, in milliseconds. */
+/** Reports that arrive at the same moment count as this far apart, in milliseconds. */
 const MIN_SPACING_MS = 20;
 
-/** Observations are gathered for so long before they are fitted, in milliseconds. */
+/** How long observations are collected before they are fitted, in milliseconds. */
 const BATCH_MS = 200;
 
-/** A forecast looks at moments so far apart, in milliseconds. */
+/** The step between the times at which a forecast is evaluated, in milliseconds. */
 const FORECAST_STEP_MS = 500;
 
-/** From so many recent observations on, the swing is trusted rather than the trend. */
+/**
+ * The number of recent observations from which on the fitted oscillation is used instead of the
+ * trend.
+ */
 const MIN_OBSERVATIONS = 20;
 
-/** The load of one step: its level, its trend and its swing. */
+/** The load of one step: its level, its trend and its oscillation. */
 export class StepLoad {
   readonly #fit = new HarmonicFit();
 
@@ -34,7 +43,7 @@
 
   #slowLevel: number;
 
-  /** The index of the period that suits best. */
+  /** The index of the period that fits best. */
   #bestPeriod = 0;
 
   #batchCount = 0;
@@ -52,7 +61,7 @@
     this.#addToBatch(slack);
   }
 
-  /** When it was observed last. */
+  /** The time of the latest observation. */
   get atMs(): number {
     return this.#atMs;
   }
@@ -61,7 +70,7 @@
     return this.#level;
   }
 
-  /** One task of the step would have had this slack with nothing beside it. */
+  /** Records the slack that one task of the step would have had without interference. */
   observe(slack: number, nowMs: number, priorSlack: number): void {
     const sinceMs = Math.max(MIN_SPACING_MS, nowMs - this.#atMs);
     this.#level += (slack - this.#level) * (1 - Math.exp(-sinceMs / LEVEL_TIME_CONSTANT_MS));
@@ -72,7 +81,7 @@
     if (nowMs - this.#batchStartMs >= BATCH_MS) this.#refit(nowMs, priorSlack);
   }
 
-  /** The least slack that is expected within so many milliseconds. */
+  /** Returns the least slack that is expected within `aheadMs`. */
   minSlackAhead(nowMs: number, aheadMs: number): number {
     if (this.#fit.weight < MIN_OBSERVATIONS) return this.#extrapolateTrend();
     let minSlack = Infinity;
@@ -85,7 +94,7 @@
   #extrapolateTrend(): number {
     const slope =
       (this.#level - this.#slowLevel) / (SLOW_LEVEL_TIME_CONSTANT_MS - LEVEL_TIME_CONSTANT_MS);
-    // The level itself lags by about its own time.
+    // The level itself lags by about its time constant.
     return this.#level + Math.min(0, slope) * (TREND_HORIZON_MS + LEVEL_TIME_CONSTANT_MS);
   }
 
--- a/packages/jobs/src/internal/step-rotation.ts
+++ b/packages/jobs/src/internal/step-rotation.ts
@@ -2,19 +2,23 @@
 import type { WaitingStep } from './waiting-steps.js';
 
 /**
- * Whose turn it is where rounds end before every waiting step was tried. By urgency alone, steps
- * that find no place would take the time of every round, and others for which there is room would
- * never be tried. So a step that found none stands behind those that were not tried since. Lasting
- * tasks that were at work before are few, and keep their place, as do the turns of overdue jobs:
- * behind a steady stream of new steps these would never come.
+ * Orders waiting steps so that each is tried even if rounds end before all of them were. By urgency
+ * alone, steps that fit on no worker would use the time of every round, and others for which there
+ * is capacity would never be tried. Therefore a step that did not fit comes after all steps that
+ * have not been tried since. Two kinds of steps keep their place: long-running tasks that were
+ * running before, which are few, and priority starts of starved jobs, which would never be reached
+ * behind a steady stream of new steps.
  */
 export class StepRotation {
   readonly #tried = new Set<string>();
 
-  /** Steps of the round that others may follow only once these had their turn. */
+  /**
+   * Once this many steps of the round have been tried, every step has been tried since the last
+   * restart.
+   */
   #untriedCount = 0;
 
-  /** The steps, most urgent first, in the order of their turns. */
+  /** Returns the steps, which are sorted by urgency, in the order in which the round tries them. */
   inOrder(steps: readonly WaitingStep[]): readonly WaitingStep[] {
     const isFirst = (step: WaitingStep): boolean =>
       step.rank <= STARVED_RANK || !this.#tried.has(keyOf(step));
@@ -25,8 +29,8 @@
   }
 
   /**
-   * The round ran out of time after so many steps, of which some found no place. Returns whether
-   * any is left that was not tried.
+   * Records that the round ran out of time after `count` steps, of which the `unplaced` ones fit on
+   * no worker. Returns whether any step has not been tried yet.
    */
   cutShort(count: number, unplaced: readonly WaitingStep[]): boolean {
     if (count >= this.#untriedCount) {
@@ -37,7 +41,7 @@
     return true;
   }
 
-  /** Every step had its turn, or the time was spent on starts. */
+  /** Restarts the rotation: every step has been tried, or the round has used up its starts. */
   restart(): void {
     this.#tried.clear();
   }
--- a/packages/jobs/src/internal/stop-reason.ts
+++ b/packages/jobs/src/internal/stop-reason.ts
@@ -4,13 +4,13 @@
  * Why a run is stopped.
  *
  * - `cancelled`, `failed`, `completed`: its job is in that state.
- * - `unknown-job`: no job asks for it.
- * - `superseded`: its task is bound elsewhere, or to a later run.
- * - `broken-gang`: another member of its gang is away.
+ * - `unknown-job`: no job needs it.
+ * - `superseded`: its task is bound to another worker, or to a later run.
+ * - `broken-gang`: another member of its gang is not running.
  * - `worker-leaves`: its worker is about to leave.
  * - `stands-still`: it made no progress for too long.
- * - `halted`: beside a serving task it may not work at all, and its progress is saved or nothing
- *   else of its job is at work.
+ * - `halted`: it must not work at all beside a serving task, and either its progress is saved or no
+ *   other task of its job is running.
  */
 export type StopReason =
   | 'cancelled'
@@ -23,7 +23,10 @@
   | 'stands-still'
   | 'halted';
 
-/** Processor time of a run that its next start does not find in a checkpoint, in milliseconds. */
+/**
+ * Returns the processor time of a run that is not covered by a checkpoint, in milliseconds; the
+ * next start has to repeat it.
+ */
 export function lostCpuMs({ spec, confirmed, checkpointedMs }: WorkerRun, nowMs: number): number {
   if (!confirmed || spec.lasting) return 0;
   return Math.round((spec.cpuMilli / 1_000) * (nowMs - checkpointedMs));
--- a/packages/jobs/src/internal/stop-rules.ts
+++ b/packages/jobs/src/internal/stop-rules.ts
@@ -6,7 +6,7 @@
 import type { StopReason } from './stop-reason.js';
 import type { WorkerRun, WorkerState } from './worker-state.js';
 
-/** Which runs must not go on where they are. */
+/** Decides which runs must be stopped. */
 export class StopRules {
   readonly #state: ClusterState;
 
@@ -14,14 +14,14 @@
     this.#state = state;
   }
 
-  /** Why the run is to be stopped; undefined where it may go on. */
+  /** Returns why the run must be stopped; undefined if it may continue. */
   reason(worker: WorkerState, run: WorkerRun, nowMs: number): StopReason | undefined {
     const reason = this.unwantedReason(worker, run);
     if (reason) return reason;
     return mustEvacuate(worker, run, nowMs) ? 'worker-leaves' : undefined;
   }
 
-  /** Why no job asks for the run, there or anywhere; undefined where one does. */
+  /** Returns why no job needs the run on this worker; undefined if a job does. */
   unwantedReason(worker: WorkerState, run: WorkerRun): StopReason | undefined {
     if (this.#state.isUnloaded(run.ref.jobId)) return undefined;
     const job = this.#state.jobs.get(run.ref.jobId);
@@ -32,9 +32,9 @@
     if (run.stopReason) return run.stopReason;
     const isBinding = task.run === run.run && task.worker === worker.entry.id;
     if (!isBinding || task.phase === 'waiting') return 'superseded';
-    // An earlier run of it has ended well.
+    // An earlier run of the task has succeeded.
     if (task.phase === 'done' && !run.spec.gang) return 'superseded';
-    // The other members of a gang end by themselves when one has ended well.
+    // The other members of a gang end by themselves when one has succeeded.
     return isBrokenGang(job, run) ? 'broken-gang' : undefined;
   }
 }
--- a/packages/jobs/src/internal/tail-latency-model.ts
+++ b/packages/jobs/src/internal/tail-latency-model.ts
@@ -3,16 +3,19 @@
 import { ServingLoads } from './serving-loads.js';
 import type { WorkerRun, WorkerState } from './worker-state.js';
 
-/** The slack of a serving task is taken to be this while nothing was measured. */
+/** The slack that is assumed for a serving task without measurements. */
 const UNMEASURED_SLACK = 1.7;
 
-/** What is known of the tails of serving tasks: their own load, and what disturbs them. */
+/**
+ * Models the tail latencies of serving tasks: their own load, and the interference by best-effort
+ * tasks.
+ */
 export class TailLatencyModel {
   readonly interference = new InterferenceModel();
 
   readonly loads = new ServingLoads();
 
-  /** Takes in what a worker has just reported of its runs. */
+  /** Learns from a worker's latest report of its runs. */
   learn(worker: WorkerState, nowMs: number): void {
     const parts = usedParts(worker);
     for (const run of worker.runs.values()) {
@@ -26,7 +29,10 @@
     }
   }
 
-  /** The least slack that a serving run is about to have with nothing beside it. */
+  /**
+   * Returns the least slack that a serving run is expected to have within `aheadMs` without
+   * interference.
+   */
   baselineSlack(run: WorkerRun, worker: WorkerState, nowMs: number, aheadMs: number): number {
     const minSlack = this.loads.minSlackAhead(run.ref, nowMs, aheadMs);
     if (minSlack !== undefined) return minSlack;
@@ -35,7 +41,7 @@
   }
 }
 
-/** Whether the run has a tail to go by: one that starts up has none of its own yet. */
+/** Returns whether the run has a measured tail latency; a task that is starting has none yet. */
 export function hasTailLatency({ spec, confirmed, percent, measure }: WorkerRun): boolean {
   return spec.targetMs > 0 && confirmed && percent === 100 && measure > 0;
 }
--- a/packages/jobs/src/internal/task-placer.ts
+++ b/packages/jobs/src/internal/task-placer.ts
@@ -24,19 +24,21 @@
 import type { WorkerState } from './worker-state.js';
 
 /**
- * - `placed`: every task that can be started now has a place.
- * - `placeless`: a task found no place.
- * - `cut-short`: the limits of the round ended it.
+ * - `placed`: every task that can be started now has been placed.
+ * - `placeless`: a task fits on no worker.
+ * - `cut-short`: the limits of the round ended placement.
  */
 type StepOutcome = 'placed' | 'placeless' | 'cut-short';
 
-/** While less of the processors is reserved, tasks that work slowly do not stand in the way of others. */
+/** Below this reserved share of the processors, tasks that run slowly do not delay others. */
 const SLOW_PLACEMENT_BELOW = 0.5;
 
-/** A job whose tasks are all halted for so long is to go on elsewhere, in milliseconds. */
+/**
+ * A job whose tasks have all been halted for this time is moved to another worker, in milliseconds.
+ */
 const MOVE_HALTED_AFTER_MS = 1_000;
 
-/** Gives waiting tasks to workers. */
+/** Assigns waiting tasks to workers. */
 export class TaskPlacer {
   readonly #state: ClusterState;
 
@@ -50,16 +52,16 @@
 
   readonly #hold = new CapacityHold();
 
-  /** Overdue steps of this round without a place, since the last start. */
+  /** Steps of starved jobs that did not fit on any worker in this round, since the last start. */
   readonly #starvedUnplaced: WaitingStep[] = [];
 
-  /** By job: its runs that may not work where they are, as of this round. */
+  /** For each job: its runs that must not work on their workers, as of this round. */
   #halted: ReadonlyMap<string, HaltedRun[]> = new Map();
 
-  /** How many jobs are idle, by the lane of their first step, as of this round. */
+  /** The number of idle jobs by the capacity class of their first step, as of this round. */
   readonly #idleByClass = new Map<string, number>();
 
-  /** In the last round a job that could still end in time found no place. */
+  /** Whether a job that could still end in time did not fit on any worker in the last round. */
   #isCapacityShort = false;
 
   constructor(state: ClusterState, placement: PlacementPolicy) {
@@ -68,8 +70,8 @@
   }
 
   /**
-   * Binds what can be started now to workers, the most urgent first. Returns whether the limits
-   * ended it while there may be room for more.
+   * Binds tasks that can be started now to workers, the most urgent first. Returns whether the
+   * limits ended placement while there may be capacity for more tasks.
    */
   placeAll(nowMs: number, limits: RoundLimits): boolean {
     const isCutShort = this.#placeWaiting(nowMs, limits);
@@ -79,15 +81,16 @@
   }
 
   /**
-   * A job that an earlier node has left: with nothing at work it is idle since then. Between two
-   * occurrences it has nothing to start either.
+   * Restores the idle time of a job from an earlier leader: if none of its tasks is bound, it has
+   * been idle since `sinceMs`. Jobs with occurrences are left out, as they have nothing to start
+   * between two occurrences.
    */
   restoreIdle(job: JobProgress, sinceMs: number): void {
     const hasWork = !job.spec.schedule && !isFinal(job.state);
     if (sinceMs < Infinity && hasWork && !job.hasBoundTasks()) this.#idle.markIdle(job, sinceMs);
   }
 
-  /** As of the newest round. */
+  /** Returns the idle jobs and the use of the workers, as of the latest round. */
   backlog(nowMs: number): Backlog {
     let idleJobs = 0;
     let longestIdleMs = 0;
@@ -99,7 +102,10 @@
     return { idleJobs, longestIdleMs, ...this.#state.usage() };
   }
 
-  /** By lane with too many idle jobs: when callers may come back; as of the newest round. */
+  /**
+   * Returns, for each capacity class with too many idle jobs, after how many milliseconds callers
+   * may retry; as of the latest round.
+   */
   retryAfter(nowMs: number): RetryAfter {
     return this.#state.idleWaits.retryAfter(this.#idleByClass, this.#idle.allowance, nowMs);
   }
@@ -107,7 +113,8 @@
   #placeWaiting(nowMs: number, limits: RoundLimits): boolean {
     this.#halted = haltedRuns(this.#state.workers.values());
     const waiting = this.#rotation.inOrder([...this.#waitingSteps(nowMs)].sort(byUrgency));
-    // From here on: with thousands of waiting steps the sorting takes its time as well.
+    // The time limit applies from here on, because with thousands of waiting steps sorting takes a
+    // while.
     const budget = new RoundBudget(limits);
     this.#placeHeld(budget, nowMs);
     const roundCandidates = new RoundCandidates(this.#availableWorkers(), this.#placement, nowMs);
@@ -117,7 +124,7 @@
     this.#isCapacityShort = false;
     for (const { tasks } of waiting) this.#waits.waiting(tasks, nowMs);
     for (const [count, step] of waiting.entries()) {
-      // One step at least is tried, however late it is.
+      // At least one step is tried, however late it is.
       const mayContinue = budget.hasStarts && (count === 0 || budget.hasTime);
       if (!mayContinue) {
         for (const { tasks } of waiting.slice(count)) this.#waits.skipped(tasks);
@@ -145,8 +152,9 @@
   }
 
   /**
-   * Stops one run of each job whose runs are all halted, where another worker has a place for it:
-   * halted beside a serving task that stays near its target, it would hold its job up for good.
+   * Stops one run of each job whose runs are all halted, if another worker has capacity for it.
+   * Beside a serving task that stays near its target, a halted run would block its job
+   * indefinitely.
    */
   #stopHalted(roundCandidates: RoundCandidates, nowMs: number): void {
     for (const [jobId, halted] of this.#halted) {
@@ -161,7 +169,7 @@
     }
   }
 
-  /** Tells of a job that is idle for long what keeps it from how many workers. */
+  /** Logs a job that has been idle for long, with the number of workers by obstacle. */
   #logIdle(job: JobProgress, spec: StepSpec, candidates: Candidates, nowMs: number): void {
     if (!this.#idle.shouldLogIdle(job, nowMs)) return;
     this.#state.logEvent('job-idle', {
@@ -177,8 +185,9 @@
   }
 
   /**
-   * Without those that run what is not told yet: how much room it takes there is not known. Nor the
-   * one on which room is held.
+   * Yields the workers that may take tasks. It leaves out workers with runs of jobs that are not
+   * yet loaded, because the capacity that these use is unknown, and the worker on which capacity is
+   * held.
    */
   *#availableWorkers(): Generator<WorkerState> {
     for (const worker of this.#state.workers.values()) {
@@ -188,12 +197,13 @@
     }
   }
 
-  /** A task was started; overdue jobs that found no place before it were passed over. */
+  /** Records the start of a task. Starved jobs that fit on no worker before it were passed over. */
   #started(step: WaitingStep, nowMs: number): void {
     this.#idle.started(step.job, step.rank === STARVED_RANK);
     for (const other of this.#starvedUnplaced.splice(0)) {
       this.#idle.passedOver(other.job, nowMs);
-      // Best-effort tasks reserve no processors, and a gang needs room on several workers.
+      // No capacity is held for best-effort tasks, which reserve no processors, or for gangs, which
+      // need several workers.
       if (!other.spec.gang && !other.spec.fills) this.#hold.add(other);
     }
   }
@@ -212,12 +222,12 @@
     this.#state.logEvent('room-held', { job: job.spec.id, worker, cpuMilli, memMb, gpus });
   }
 
-  /** Starts the task for which room is held, if there is enough by now. */
+  /** Starts the task for which capacity is held, if there is enough by now. */
   #placeHeld(budget: RoundBudget, nowMs: number): void {
     this.#hold.releaseStale(nowMs);
     const { step, worker } = this.#hold;
     if (!step || !worker) return;
-    // Since the room is held the worker may have gone, or the queue may go to another pool.
+    // The worker may have been removed since the hold began, or the queue may use another pool.
     const isKnown = this.#state.workers.get(worker.entry.id) === worker;
     if (!isKnown || this.#state.queues.get(step.queue.name)?.pool !== worker.entry.pool) {
       this.#hold.end();
@@ -229,7 +239,7 @@
     if (this.#placeTasks(step, candidates, budget, nowMs) === 'placed') this.#hold.end();
   }
 
-  /** Returns whether any step is left that was not tried. */
+  /** Returns whether any step has not been tried yet. */
   #cutShort(budget: RoundBudget, count: number, unplaced: readonly WaitingStep[]): boolean {
     if (budget.hasStarts) return this.#rotation.cutShort(count, unplaced);
     this.#rotation.restart();
@@ -267,7 +277,7 @@
     }
   }
 
-  /** The first step of an idle job stands twice: for the task that is owed, and the rest. */
+  /** Yields the first step of an idle job a second time, for its catch-up task. */
   *#idleSteps([first]: readonly WaitingStep[]): Generator<WaitingStep> {
     if (!first) return;
     const { job, queue, spec, rank } = first;
@@ -278,8 +288,9 @@
   }
 
   /**
-   * Whether a task may go where it works slowly: of a job that found no other place since it is
-   * overdue, and with much room of any idle one. The tasks beside it are slowed down as well.
+   * Returns whether a best-effort task may be placed where it runs slowly: the priority start of a
+   * job that has been starved for long, and, with ample capacity, every priority start and catch-up
+   * task. The tasks beside it are slowed down as well.
    */
   #mayRunSlowly(
     { job, spec, rank }: WaitingStep,
@@ -297,7 +308,7 @@
     budget: RoundBudget,
     nowMs: number,
   ): StepOutcome {
-    // Its tasks stand once more in the usual order.
+    // Its tasks are listed again in the usual order.
     if (step.rank === STARVED_RANK && !this.#idle.mayStart(step.job)) return 'placed';
     return step.spec.gang
       ? this.#placeGang(step, candidates, budget, nowMs)
@@ -317,7 +328,7 @@
         if (started > 0 && !(budget.hasStarts && budget.hasTime)) return 'cut-short';
         const ref = { ...step.ref, index };
         const worker = candidates.choose({ ref, spec: step.spec, avoid: task.worker });
-        // The tasks of a step are alike: where one finds no place, the next finds none either.
+        // The tasks of a step are alike: if one of them does not fit, the next one does not either.
         if (!worker) return 'placeless';
         this.#bind(step, ref, task, worker, task.run + 1, nowMs);
         budget.recordStarts(1);
@@ -329,7 +340,7 @@
     return 'placed';
   }
 
-  /** All members or none: a part of a gang would hold its room and wait in vain. */
+  /** Places all members or none: a part of a gang would hold its capacity and wait in vain. */
   #placeGang(
     step: WaitingStep,
     candidates: Candidates,
@@ -392,7 +403,7 @@
   }
 }
 
-/** Whether a run that is halted for some time could go on elsewhere. */
+/** Returns whether a run that has been halted for some time can continue on another worker. */
 function canMove(
   { worker, run }: HaltedRun,
   roundCandidates: RoundCandidates,
--- a/packages/jobs/src/internal/urgency.ts
+++ b/packages/jobs/src/internal/urgency.ts
@@ -1,20 +1,23 @@
 import type { JobSpec, QueuePolicy } from '../job.js';
 
-/** An end later than this many times the objective is worth nothing to the caller. */
+/** A job that ends later than this many times its objective is of no use to its caller. */
 const WORTHLESS_FACTOR = 3;
 
 /**
- * How much a caller still gets from work on a job now.
+ * How useful work on a job still is to its caller.
  *
- * - 0: it can end in time.
+ * - 0: the job can end in time.
  * - 1: it can only end late.
- * - 2: it ends too late to be of use, whatever is done.
+ * - 2: it ends too late to be of use in any case.
  */
 export type Feasibility = 0 | 1 | 2;
 
 const knownPaths = new WeakMap<JobSpec, readonly number[]>();
 
-/** By step: the estimated time from its start to the job's end along the longest chain. */
+/**
+ * Returns, for each step, the estimated time from its start to the job's end along the longest
+ * chain of steps, in milliseconds.
+ */
 export function criticalPathsMs(spec: JobSpec): readonly number[] {
   const known = knownPaths.get(spec);
   if (known) return known;
@@ -29,12 +32,15 @@
   return paths;
 }
 
-/** How long the job may take from its acceptance (or its due time), in milliseconds. */
+/** Returns how long the job may take from its acceptance or due time, in milliseconds. */
 export function objectiveMs(spec: JobSpec, { stretch, targetLatencyMs }: QueuePolicy): number {
   return stretch * Math.max(0, ...criticalPathsMs(spec)) + targetLatencyMs;
 }
 
-/** What is left for a job that must still do a step and all that follows it. */
+/**
+ * Returns how useful work on a job still is that has yet to run a step and all steps that depend on
+ * it.
+ */
 export function feasibilityOf(
   spec: JobSpec,
   queue: QueuePolicy,
--- a/packages/jobs/src/internal/waiting-steps.ts
+++ b/packages/jobs/src/internal/waiting-steps.ts
@@ -4,14 +4,15 @@
 import { feasibilityOf, objectiveMs } from './urgency.js';
 
 /**
- * Which steps of one priority come first where there is not room for all.
+ * The order of the steps of one priority when there is not enough capacity for all; lower ranks
+ * come first.
  *
- * - 0: lasting tasks that were at work before: whoever relies on them is without them now.
- * - 1: one task of a job of which none has been at a worker for long, in the order of their turns.
+ * - 0: long-running tasks that were running before: their callers are without them now.
+ * - 1: one task of each starved job that has a priority start, in the order of these starts.
  * - 2: steps of jobs that can still end in time.
- * - 3: lasting tasks that were never at work. They hold their room for minutes, so a short job
- *   that they displace earns four times what they would with the same processor time.
- * - 4: the first tasks of jobs that have few at workers, while these have much room.
+ * - 3: long-running tasks that have never run. They hold their capacity for minutes, so a short
+ *   job that they displace earns four times as much with the same processor time.
+ * - 4: the first best-effort task of each idle job that can no longer end in time.
  * - 5: steps of jobs that can only end late.
  * - 6: steps of jobs that end too late to be of use.
  */
@@ -20,7 +21,7 @@
 /** The rank of steps of jobs that can still end in time. */
 export const IN_TIME_RANK: Rank = 2;
 
-/** The rank of a short job by what it can still attain. */
+/** The rank of a step that is not long-running, by feasibility. */
 const RANK_BY_FEASIBILITY: readonly Rank[] = [IN_TIME_RANK, 5, 6];
 
 /** A step with tasks that could be started now. */
@@ -31,13 +32,16 @@
   readonly ref: TaskRef;
   readonly tasks: TaskProgress[];
   readonly rank: Rank;
-  /** Of one rank the lowest goes first: the time of day by which the job should have ended. */
+  /**
+   * Within a rank, the lowest value goes first: the time of day by which the job should have ended,
+   * or, for a starved or idle job, when it was queued for a priority start.
+   */
   readonly sortMs: number;
-  /** Only so many of the tasks have this rank; the step stands once more for the rest. */
+  /** The maximum number of tasks with this rank; the step is listed again for the others. */
   readonly maxTasks: number;
 }
 
-/** The steps of one occurrence that have tasks to start and wait for nothing else. */
+/** Yields the steps of one occurrence that have tasks to start and whose dependencies are done. */
 export function* waitingStepsOf(
   job: JobProgress,
   queue: QueuePolicy | undefined,
@@ -65,15 +69,18 @@
   return tasks.some(({ phase, run }) => phase === 'waiting' && run > 0) ? 0 : 3;
 }
 
-/** When the work of an occurrence was asked for: at its due time, or with the job. */
+/**
+ * Returns when the work of an occurrence was requested: at its due time, or when the job was
+ * accepted.
+ */
 function requestedMsOf({ spec }: JobProgress, { number }: Occurrence): number {
   const { schedule, acceptedMs } = spec;
   return schedule ? schedule.firstDueMs + number * schedule.intervalMs : acceptedMs;
 }
 
 /**
- * Urgent queues first. Within one by rank, and of one rank the earliest deadline first;
- * served in the order of their arrival, a burst makes every job after it late as well.
+ * Compares steps: urgent queues go first; within a queue priority the lower rank; within a rank the
+ * earliest deadline. In the order of arrival, a burst would make every job after it late as well.
  */
 export function byUrgency(a: WaitingStep, b: WaitingStep): number {
   if (a.queue.priority !== b.queue.priority) return a.queue.priority - b.queue.priority;
--- a/packages/jobs/src/internal/worker-health.ts
+++ b/packages/jobs/src/internal/worker-health.ts
@@ -1,15 +1,18 @@
 /**
- * So many failures in a row, and the worker is suspected. Two would often be the tasks' own
- * fault: a few in a hundred fail anywhere.
+ * The number of consecutive failures after which a worker is suspected. Two would often be the
+ * tasks' own fault: a few in a hundred fail anywhere.
  */
-const MAX_FAILURES_IN_ROW = 3;
+const SUSPICIOUS_FAILURES = 3;
 
-/** How long a suspected worker is left alone before one more failure is risked, in ms. */
+/**
+ * How long a suspected worker gets no tasks, before one more failure is risked, in milliseconds.
+ */
 const SUSPICION_MS = 3_000;
 
 /**
- * Tells a worker that fails all it starts from one that was given tasks that fail. Without it a
- * failing worker, always idle, draws task after task until their jobs run out of attempts.
+ * Tells a worker on which every task fails from one that was given tasks that fail anywhere. A
+ * failing worker always has free capacity; without this it would receive one task after the other
+ * until their jobs run out of attempts.
  */
 export class WorkerHealth {
   #failuresInRow = 0;
@@ -22,12 +25,15 @@
       return;
     }
     this.#failuresInRow += 1;
-    if (this.#failuresInRow >= MAX_FAILURES_IN_ROW) this.#suspectedUntilMs = nowMs + SUSPICION_MS;
+    if (this.#failuresInRow >= SUSPICIOUS_FAILURES) this.#suspectedUntilMs = nowMs + SUSPICION_MS;
   }
 
-  /** A run here made no progress for too long: as good as all failures in a row. */
+  /**
+   * Records that a run here made no progress for too long. This counts as much as all consecutive
+   * failures.
+   */
   stalled(nowMs: number): void {
-    this.#failuresInRow = MAX_FAILURES_IN_ROW;
+    this.#failuresInRow = SUSPICIOUS_FAILURES;
     this.#suspectedUntilMs = nowMs + SUSPICION_MS;
   }
 
--- a/packages/jobs/src/internal/worker-state.ts
+++ b/packages/jobs/src/internal/worker-state.ts
@@ -4,64 +4,72 @@
 import type { StopReason } from './stop-reason.js';
 import { WorkerHealth } from './worker-health.js';
 
-/** A run that occupies room on a worker, or may. */
+/** A run that occupies, or may occupy, capacity on a worker. */
 export interface WorkerRun {
   readonly ref: TaskRef;
   readonly run: number;
   readonly spec: StepSpec;
   readonly startedMs: number;
   /**
-   * A report asked for after this time that does not know the run proves that it never will run.
-   * Infinite while the start is on its way.
+   * A report that was requested after this time and does not list the run proves that it will never
+   * run. Infinity while the start is being sent.
    */
   sendCompletedMs: number;
-  /** The worker has said that the run is there, or was. */
+  /** Whether the worker has confirmed that the run is, or was, there. */
   confirmed: boolean;
-  /** When the newest stop was sent; 0 before the first. */
+  /** When the latest stop was sent; 0 before the first. */
   stopSentMs: number;
-  /** Why it was stopped first; undefined before that. */
+  /** The reason of the first stop; undefined before that. */
   stopReason: StopReason | undefined;
   checkpoint: string;
-  /** When its checkpoint changed last, or the run was ordered. */
+  /** When its checkpoint last changed, or when the run was ordered if it has none. */
   checkpointedMs: number;
   percent: number;
-  /** When `percent` last rose. */
+  /** When the run last made progress: `percent` changed or was 100, or the pace was changed. */
   progressedMs: number;
   measure: number;
-  /** Since when every report had its tail over its target; 0 if the newest had not. */
+  /**
+   * Since when every report has had the run's tail latency over its target; 0 if the latest did
+   * not.
+   */
   missedTargetSinceMs: number;
-  /** The share of its speed that the run was last told to work at. */
+  /** The share of its speed at which the run was last ordered to work, in percent. */
   pace: number;
 }
 
-/** One worker as the scheduling node sees it. */
+/** A worker as known to the leader. */
 export class WorkerState {
   entry: WorkerEntry;
 
-  /** Whether the store lists it. */
+  /** Whether the store lists the worker. */
   listed = true;
 
-  /** Whether it has answered under this node's fencing token, so that its lists are the truth. */
+  /**
+   * Whether it has answered under this leader's fencing token, so that its reports can be relied
+   * on.
+   */
   fenced = false;
 
   answeredMs = -Infinity;
 
-  /** The earliest time at which it may leave, while it is draining. */
+  /** The earliest time at which a draining worker may leave. */
   leavesMs = Infinity;
 
-  /** After this time every lease it may have been given is over, on its own slow clock too. */
+  /**
+   * After this time every lease that the worker may hold has expired, even by its own slow clock.
+   */
   leaseEndMs: number;
 
-  /** Ends up to this number have been worked into the jobs. */
+  /** Ends up to this number have been applied to the jobs. */
   processedEnd = 0;
 
-  /** Ends up to this number may be forgotten by the worker. */
+  /** The worker may forget its ends up to this number. */
   ackedEnd = 0;
 
-  /** No start before this time: the last one found no room. */
+  /** No task is started here before this time, because the last start lacked capacity. */
   fullUntilMs = 0;
 
-  /** When any run here was last told to work slower or faster. */
+  /** When the pace of any run here was last changed. */
   paceChangedMs = 0;
 
   #version = 0;
@@ -82,7 +90,7 @@
 
   readonly #bestEffortClaims = new Map<string, number>();
 
-  /** How many serving tasks of each image are here. */
+  /** The number of serving tasks here, by image. */
   readonly servingImages = new Map<string, number>();
 
   constructor(entry: WorkerEntry, leaseEndMs: number) {
@@ -90,32 +98,32 @@
     this.leaseEndMs = leaseEndMs;
   }
 
-  /** Rises with every change of what runs here or of what was measured of it. */
+  /** Increases with every change of the runs here or of their measurements. */
   get version(): number {
     return this.#version;
   }
 
-  /** What runs here was measured again. */
+  /** Records that the runs here have been measured again. */
   markMeasured(): void {
     this.#version += 1;
   }
 
-  /** Reserved processor time; filling tasks reserve none. */
+  /** Reserved processor time; best-effort tasks reserve none. */
   get cpuMilli(): number {
     return this.#cpuMilli;
   }
 
-  /** What the filling tasks here would use if nothing else did. */
+  /** The processor time that the best-effort tasks here would use if no other tasks did. */
   get bestEffortMilli(): number {
     return this.#bestEffortMilli;
   }
 
-  /** Reserved by tasks that answer callers of their own. */
+  /** The processor time that is reserved by tasks with callers of their own. */
   get servingMilli(): number {
     return this.#servingMilli;
   }
 
-  /** By image: the processor time that filling tasks here claim. */
+  /** Returns, for each image, the processor time that best-effort tasks here claim. */
   bestEffortClaims(): ReadonlyMap<string, number> {
     return this.#bestEffortClaims;
   }
@@ -141,7 +149,7 @@
     return this.#gpus + spec.gpus <= capacity.gpus;
   }
 
-  /** The same once everything here has ended but the tasks that last. */
+  /** Like `hasCapacityFor`, once all tasks here except the long-running ones have ended. */
   hasCapacityBesideLongRunning(spec: StepSpec): boolean {
     const { capacity } = this.entry;
     let [cpuMilli, memMb, gpus] = [spec.fills ? 0 : spec.cpuMilli, spec.memMb, spec.gpus];
@@ -155,14 +163,14 @@
     return cpuMilli <= capacity.cpuMilli && memMb <= capacity.memMb && gpus <= capacity.gpus;
   }
 
-  /** Whether a serving task here was over its target in the newest report. */
+  /** Returns whether a serving task here missed its target in the latest report. */
   missesTarget(): boolean {
     for (const { missedTargetSinceMs } of this.runs.values())
       if (missedTargetSinceMs > 0) return true;
     return false;
   }
 
-  /** How many tasks of a step, of one occurrence, occupy room here. */
+  /** Returns how many tasks of a step, of one occurrence, occupy capacity here. */
   countOf({ jobId, occurrence, step }: TaskRef): number {
     let count = 0;
     for (const { ref } of this.runs.values()) {
--- a/packages/jobs/src/job-progress.ts
+++ b/packages/jobs/src/job-progress.ts
@@ -4,31 +4,34 @@
 import { PHASES, parseProgress } from './internal/progress-record.js';
 
 /**
- * - `waiting`: not started, or to be started again.
- * - `bound`: given to a worker; it runs there, or may.
- * - `done`, `failed`: over.
+ * - `waiting`: not started, or to be restarted.
+ * - `bound`: assigned to a worker, where it runs or may run.
+ * - `done`, `failed`: ended.
  */
 export type TaskPhase = 'waiting' | 'bound' | 'done' | 'failed';
 
-/** How far one task has come. */
+/** The progress of one task. */
 export interface TaskProgress {
   phase: TaskPhase;
-  /** The number of the newest start; 0 before the first. */
+  /** The number of the latest run; 0 before the first. */
   run: number;
-  /** The worker of the newest start; kept after it as the place to avoid. */
+  /**
+   * The worker of the latest run. It is kept after the run has ended, because the next run avoids
+   * this worker if possible.
+   */
   worker: string;
   failures: number;
-  /** What the next start resumes from; empty to begin anew. */
+  /** The checkpoint from which the next run resumes; empty to start from the beginning. */
   checkpoint: string;
 }
 
-/** One pass through a job's steps. */
+/** One execution of all steps of a job. */
 export interface Occurrence {
   readonly number: number;
   readonly steps: TaskProgress[][];
 }
 
-/** A job together with how far it has come. The scheduling node owns and changes it. */
+/** A job and its progress. The leader owns and changes it. */
 export class JobProgress {
   readonly spec: JobSpec;
 
@@ -36,7 +39,7 @@
 
   #endedMs = 0;
 
-  /** Occurrences that are under way, by number. */
+  /** Open occurrences, by number. */
   readonly occurrences = new Map<number, Occurrence>();
 
   #nextOccurrence = 0;
@@ -69,7 +72,7 @@
     return schedule.firstDueMs + this.#nextOccurrence * schedule.intervalMs;
   }
 
-  /** Opens every occurrence that is due; returns whether there was one. */
+  /** Opens every occurrence that is due. Returns whether any was opened. */
   openDue(timeOfDayMs: number): boolean {
     let opened = false;
     while (this.#nextOccurrence < this.occurrenceCount && this.nextDueMs <= timeOfDayMs) {
@@ -91,13 +94,15 @@
     if (this.#state === 'queued') this.#state = 'running';
   }
 
-  /** Whether all tasks that a step depends on have ended. */
+  /** Returns whether all tasks that a step depends on are done. */
   isStepReady(occurrence: Occurrence, step: number): boolean {
     const { after } = this.spec.steps[step]!;
     return after.every((earlier) => occurrence.steps[earlier]!.every(isDone));
   }
 
-  /** Closes occurrences whose tasks are all done, and the job after its last. */
+  /**
+   * Closes occurrences whose tasks are all done, and completes the job after its last occurrence.
+   */
   closeOccurrences(timeOfDayMs: number): void {
     for (const occurrence of this.occurrences.values()) {
       if (occurrence.steps.every((tasks) => tasks.every(isDone))) {
@@ -128,7 +133,7 @@
     return false;
   }
 
-  /** How many tasks are given to workers; counted up to `most`. */
+  /** Returns how many tasks are bound to workers, counting up to `limit`. */
   boundCount(limit: number): number {
     let count = 0;
     for (const { steps } of this.occurrences.values()) {
@@ -142,7 +147,7 @@
     return count;
   }
 
-  /** Reads back what `encode` has written for the same job. */
+  /** Decodes what `encode` returned for the same job. */
   static decode(spec: JobSpec, text: string): JobProgress {
     const rec = JSON.parse(text) as ProgressRecord;
     const progress = new JobProgress(spec);
@@ -159,8 +164,8 @@
   }
 
   /**
-   * The state alone, for nodes that only answer callers; undefined where the text is no progress of
-   * this job, and `decode` must not be called with it.
+   * Decodes only the state, for nodes that answer callers but do not schedule. Returns undefined if
+   * the text is not the progress of this job; `decode` must not be called with such a text.
    */
   static decodeState(
     spec: JobSpec,
--- a/packages/jobs/src/job.ts
+++ b/packages/jobs/src/job.ts
@@ -1,40 +1,52 @@
-/** One step of a job: a number of alike tasks. */
+/** One step of a job: a number of tasks that are alike. */
 export interface StepSpec {
   readonly taskCount: number;
   /** Claimed processor time, in thousandths of a core. */
   readonly cpuMilli: number;
   readonly memMb: number;
   readonly gpus: number;
-  /** The caller's rough guess of one task's duration; 0 if it gave none. */
+  /** The caller's rough estimate of one task's duration, in milliseconds; 0 if not given. */
   readonly estimateMs: number;
-  /** Indexes of earlier steps that must have ended first. */
+  /** Indexes of the earlier steps that must have ended first. */
   readonly after: readonly number[];
   readonly checkpointing: boolean;
-  /** The tasks work only together: all start, and all end, as one. */
+  /** The tasks work only together: all of them start, and all of them end, as one. */
   readonly gang: boolean;
-  /** The tasks work slower when spread over more than one rack. */
+  /** The tasks run slower when they are spread over more than one rack. */
   readonly rackLocal: boolean;
-  /** A label that a worker must have; empty for none. */
+  /** A label that the worker must have; empty if none is required. */
   readonly requiredLabel: string;
-  /** The rack that holds the input data; empty for none. */
+  /** The rack that holds the input data; empty if there is none. */
   readonly dataRack: string;
-  /** The most tasks of this step on one worker; 0 for any number. */
+  /** The maximum number of tasks of this step on one worker; 0 for no maximum. */
   readonly maxPerWorker: number;
   /** Several copies of one task may run at once. */
   readonly speculative: boolean;
-  /** The tasks run until the job is cancelled and are restarted however they end. */
+  /**
+   * The tasks are long-running: they run until the job is cancelled, and are restarted however they
+   * end.
+   */
   readonly lasting: boolean;
-  /** Tasks of one image behave alike; empty if unnamed. */
+  /** The name of the tasks' image; empty if unnamed. Tasks of one image behave alike. */
   readonly image: string;
-  /** The latency that a lasting task owes its own callers, in milliseconds; 0 for none. */
+  /**
+   * The target for the latency with which a long-running task serves its own callers, in
+   * milliseconds; 0 if it has none.
+   */
   readonly targetMs: number;
-  /** The processor claim is not reserved: the tasks take what the others leave. */
+  /**
+   * The tasks are best-effort: their processor claim is not reserved, and they use what other tasks
+   * leave.
+   */
   readonly fills: boolean;
-  /** How many tasks of a lasting step may be away at once through the scheduler's own orders. */
+  /**
+   * The maximum number of tasks of a long-running step that the scheduler's own orders may make
+   * unavailable at once.
+   */
   readonly maxUnavailable: number;
 }
 
-/** One task that claims nothing and asks for nothing: what every other step adds to. */
+/** A step of one task without claims or requirements; other steps override its values. */
 export const PLAIN_STEP: StepSpec = {
   taskCount: 1,
   cpuMilli: 0,
@@ -56,10 +68,10 @@
   maxUnavailable: 0,
 };
 
-/** When a job with occurrences is due. */
+/** The due times of a job with occurrences. */
 export interface Schedule {
   readonly count: number;
-  /** Milliseconds since 1970. */
+  /** The due time of the first occurrence, in milliseconds since 1970. */
   readonly firstDueMs: number;
   readonly intervalMs: number;
 }
@@ -67,36 +79,36 @@
 /** A job as its caller submitted it. */
 export interface JobSpec {
   readonly id: string;
-  /** The name of the queue it was submitted to. */
+  /** The name of the queue to which the job was submitted. */
   readonly queue: string;
-  /** Handed to each task as it is. */
+  /** Passed to each task unchanged. */
   readonly payload: string;
   readonly steps: readonly StepSpec[];
   readonly schedule?: Schedule;
-  /** Time of day of the acceptance, in milliseconds since 1970. */
+  /** Time of day at which the job was accepted, in milliseconds since 1970. */
   readonly acceptedMs: number;
 }
 
 export type JobState = 'queued' | 'running' | FinalState;
 
-/** A state after which nothing more happens to a job. */
+/** A state that a job never leaves. */
 export type FinalState = 'completed' | 'failed' | 'cancelled';
 
-/** What the operators say of a queue. */
+/** The operators' settings of a queue. */
 export interface QueuePolicy {
   readonly name: string;
   /** The pool of workers that run its tasks. */
   readonly pool: string;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** A job fails once one task has failed this often. */
+  /** The number of failures of one task after which the job fails. */
   readonly maxAttempts: number;
-  /** The job's objective: this many times its longest chain, and `targetLatencyMs` more. */
+  /** The objective of a job is `stretch` times its critical path plus `targetLatencyMs`. */
   readonly stretch: number;
   readonly targetLatencyMs: number;
 }
 
-/** Whether nothing more will happen to a job in this state. */
+/** Returns whether a job never leaves this state. */
 export function isFinal(state: JobState): state is FinalState {
   return state === 'completed' || state === 'failed' || state === 'cancelled';
 }
--- a/packages/jobs/src/order.ts
+++ b/packages/jobs/src/order.ts
@@ -1,6 +1,6 @@
 import type { TaskRef } from './task-ref.js';
 
-/** What the scheduling node tells a worker to do. */
+/** An order from the leader to a worker. */
 export type Order =
   | {
       readonly kind: 'start';
@@ -20,15 +20,15 @@
     };
 
 /**
- * What came of an order.
+ * The outcome of an order.
  *
- * - `done`: the worker has carried it out, or had before.
- * - `fenced`: another node has used a higher token there.
- * - `superseded`: this run was stopped or has ended there.
- * - `too-late`: the order's time was over.
+ * - `done`: the worker has carried out the order, now or earlier.
+ * - `fenced`: another node has used a higher fencing token at the worker.
+ * - `superseded`: the run was stopped or has ended at the worker.
+ * - `too-late`: the deadline of the order had passed.
  * - `no-room`, `unhealthy`, `invalid`: the worker did nothing.
- * - `other-life`: the worker that was meant is gone; another one has its address.
- * - `unknown`: no answer; it may have been carried out, or may yet be.
+ * - `other-life`: the worker process that was meant has ended; another one has its address.
+ * - `unknown`: no answer; the order may have been carried out, or may yet be.
  */
 export type OrderOutcome =
   | 'done'
--- a/packages/jobs/src/scheduler.ts
+++ b/packages/jobs/src/scheduler.ts
@@ -24,27 +24,33 @@
 export type { EventLogger, SchedulerTiming } from './internal/cluster-state.js';
 export type { RoundLimits } from './internal/round-limits.js';
 
-/** How long a worker that had no room is left alone, in ms: until its next ends are known. */
+/**
+ * How long a worker that lacked capacity for a start gets no other start, in milliseconds: until
+ * its next ended runs are known.
+ */
 const FULL_WORKER_PAUSE_MS = 200;
 
-/** What a round of decisions came to. */
+/** The result of a scheduling round. */
 export interface Decisions {
   /** Jobs whose progress must be stored before any of the starts is sent. */
   readonly changed: readonly JobProgress[];
   readonly orders: readonly Order[];
-  /** By worker: ends that may be acknowledged once the changes are stored. */
+  /** For each worker: the last end that may be acknowledged once the changes are stored. */
   readonly acks: ReadonlyMap<string, number>;
-  /** The limits ended the placing while there may be room for more: another round is due soon. */
+  /**
+   * The limits ended placement while there may be capacity for more tasks: another round is due
+   * soon.
+   */
   readonly isCutShort: boolean;
 }
 
 /**
- * All decisions about jobs and workers, for the one node that schedules. It has no sockets and no
- * clock: callers hand in what happened and when, and carry out what `decide` returns.
+ * Makes all decisions about jobs and workers, on the leader. It has no sockets and no clock:
+ * callers pass in events with their times, and carry out what `decide` returns.
  *
- * The order that keeps a task from running twice: `decide` marks a task as bound to a worker; the
- * caller stores that; only then is the start sent. A later node therefore finds, for each task
- * that may run anywhere, the worker to ask.
+ * This order of events keeps a task from running twice: `decide` marks the task as bound to a
+ * worker; the caller stores that; only then is the start sent. For each task that may run anywhere,
+ * a later leader therefore finds the worker to ask.
  */
 export class Scheduler {
   readonly #state: ClusterState;
@@ -57,7 +63,10 @@
 
   readonly #model: TailLatencyModel;
 
-  /** When leases that earlier nodes have given are over, where more than the rule is known. */
+  /**
+   * For each worker: when the leases granted by earlier leaders end, if this is known more exactly
+   * than from `inheritedLeaseMs`.
+   */
   #inheritedLeaseEndsMs: ReadonlyMap<string, number> = new Map();
 
   constructor(
@@ -82,17 +91,20 @@
     return this.#state.workers;
   }
 
-  /** What was learned of how images disturb each other, for a later scheduling node. */
+  /** Learned interference between images, for a later leader. */
   get learned(): InterferenceWeights {
     return this.#model.interference.weights();
   }
 
-  /** Starts from what an earlier scheduling node has learned. */
+  /** Restores the interference that an earlier leader learned. */
   restoreLearned(learned: InterferenceWeights): void {
     this.#model.interference.restore(learned);
   }
 
-  /** By worker, when leases that earlier nodes have given are over, where more than the rule is known. */
+  /**
+   * Sets, for each worker, when the leases granted by earlier leaders end, if this is known more
+   * exactly than from `inheritedLeaseMs`.
+   */
   inheritLeases(endMs: ReadonlyMap<string, number>): void {
     this.#inheritedLeaseEndsMs = endMs;
     for (const id of endMs.keys()) {
@@ -102,8 +114,8 @@
   }
 
   /**
-   * Jobs that were begun before may not be told yet, or all of them are. Until then what workers list
-   * of unknown jobs is left as it is; all else goes on.
+   * Sets whether all jobs that were started earlier have been loaded. Until then runs of unknown
+   * jobs continue and their ends are not acknowledged; everything else is as usual.
    */
   setFullyLoaded(isFullyLoaded: boolean): void {
     this.#state.isFullyLoaded = isFullyLoaded;
@@ -114,8 +126,8 @@
   }
 
   /**
-   * Takes on a job: one just accepted, or one that an earlier node has brought so far, which nothing
-   * has happened to since `changedMs`.
+   * Adds a job: one that was just accepted, or one from an earlier leader that has not changed
+   * since `changedMs`.
    */
   addJob(progress: JobProgress, changedMs = Infinity): void {
     const { id } = progress.spec;
@@ -125,12 +137,14 @@
     for (const [ref, task] of boundTasks(progress)) this.#inherit(progress, ref, task);
   }
 
-  /** Forgets a job that is over and whose record has been deleted. */
+  /** Removes a job that has ended and whose record has been deleted. */
   dropJob(id: string): void {
     this.#state.jobs.delete(id);
   }
 
-  /** The stored progress of a job is no longer what this node has: it is stored once more. */
+  /**
+   * Has the progress of a job stored again, because the stored progress differs from this node's.
+   */
   markChanged(id: string): void {
     const job = this.#state.jobs.get(id);
     if (job) this.#state.changed.add(job);
@@ -142,7 +156,9 @@
     this.#state.endJob(job, 'cancelled', timeOfDayMs);
   }
 
-  /** The store lists the worker, or what it says of itself has changed; written then at the earliest. */
+  /**
+   * Adds or updates a worker that the store lists. Its entry was written at `writtenMs` or later.
+   */
   listWorker(entry: WorkerEntry, writtenMs: number): void {
     const known = this.#state.workers.get(entry.id);
     const worker = known ?? this.#state.addWorker(entry);
@@ -155,13 +171,13 @@
     if (entry.draining) worker.leavesMs = Math.min(worker.leavesMs, writtenMs + entry.remainingMs);
   }
 
-  /** The store no longer lists the worker. It may still run what it has. */
+  /** Records that the store no longer lists the worker. Its tasks may still be running. */
   unlistWorker(id: string): void {
     const worker = this.#state.workers.get(id);
     if (worker) worker.listed = false;
   }
 
-  /** The worker's life is known to be over: nothing runs there. */
+  /** Removes a worker whose process is known to have ended, and releases its tasks. */
   workerEnded(id: string, nowMs: number, why: string): void {
     const worker = this.#state.workers.get(id);
     if (!worker) return;
@@ -170,19 +186,19 @@
     this.#state.workers.delete(id);
   }
 
-  /** A call that renews the worker's lease is being sent. */
+  /** Records that a call is being sent that renews the worker's lease until `leaseEndMs`. */
   leaseSent(id: string, leaseEndMs: number): void {
     const worker = this.#state.workers.get(id);
     if (worker) worker.leaseEndMs = Math.max(worker.leaseEndMs, leaseEndMs);
   }
 
-  /** The worker has listed what it runs and what has ended; it was asked at `askedMs`. */
+  /** Applies a worker's report of its running and ended runs, which was requested at `askedMs`. */
   report(id: string, report: WorkerReport, askedMs: number, nowMs: number): void {
     const worker = this.#state.workers.get(id);
     if (worker) this.#reader.read(worker, report, askedMs, nowMs);
   }
 
-  /** What came of an order that `decide` returned. */
+  /** Applies the outcome of an order that `decide` returned. */
   answered(order: Order, outcome: OrderOutcome, nowMs: number, sendCompletedMs: number): void {
     const worker = this.#state.workers.get(order.worker);
     if (!worker) return;
@@ -194,10 +210,11 @@
   }
 
   /**
-   * Whether an order is still to be sent. A start waits until it is stored and for its turn, seconds
-   * maybe; sent then all the same, it would begin what was cancelled, or on a worker that has said
-   * that it leaves. One that is not listed any more may have said so where nobody read it. One that
-   * was never sent can be answered with `too-late`.
+   * Returns whether an order must still be sent. A start waits until its binding is stored and it
+   * is next to be sent, which may take seconds. By then its job may have been cancelled, or its
+   * worker may have announced that it is leaving; if the worker is no longer listed, its
+   * announcement may never have been read. An order that was never sent can be answered with
+   * `too-late`.
    */
   shouldSend(order: Order): boolean {
     if (order.kind !== 'start') return true;
@@ -207,22 +224,25 @@
     return worker.listed && !worker.entry.draining && !this.#stopRules.unwantedReason(worker, run);
   }
 
-  /** How long ago the task of a start was bound, in milliseconds; 0 where it is not any more. */
+  /** Returns how long ago the task of a start was bound, in milliseconds; 0 if it no longer is. */
   waitedMs(order: Order, nowMs: number): number {
     const run = this.#state.workers.get(order.worker)?.runs.get(taskName(order.task));
     return run?.run === order.run ? nowMs - run.startedMs : 0;
   }
 
-  /** Whether `decide` would tell something that was handed in since its last call. */
+  /**
+   * Whether input since the last call of `decide` has led to changes, orders or acknowledgements.
+   */
   get hasPendingDecisions(): boolean {
     const { changed, orders, endsProcessed } = this.#state;
     return changed.size > 0 || orders.length > 0 || endsProcessed.size > 0;
   }
 
   /**
-   * Stops, and changes of pace, that are due. They need nothing stored: the binding stays on record
-   * until the worker lists the end. A caller sends them at once, also while an append is under way:
-   * left to wait for its answer, they come too late for a worker that leaves.
+   * Returns the stops and pace changes that are due. They depend on no stored change: the binding
+   * stays on record until the worker reports the end of the run. Callers send them immediately,
+   * even while an append to the store is in flight: if they waited for its answer, they would come
+   * too late for a worker that is leaving.
    */
   decideStops(nowMs: number): Order[] {
     this.#stopUnwanted(nowMs);
@@ -232,9 +252,9 @@
   }
 
   /**
-   * Everything that follows from what was handed in since the last call. The stops among the orders
-   * need not wait for the changes to be stored. The limits hold for the placing of waiting tasks
-   * alone: stops, ends and leases that are over wait for no later round.
+   * Returns all decisions that follow from the input since the last call. The stops among the
+   * orders need not wait until the changes are stored. The limits apply only to the placement of
+   * waiting tasks: stops, ends and expired leases are handled in every round.
    */
   decide(nowMs: number, timeOfDayMs: number, limits: RoundLimits = NO_LIMITS): Decisions {
     this.#state.timeOfDayMs = timeOfDayMs;
@@ -257,7 +277,10 @@
     return decisions;
   }
 
-  /** The changes that let the worker forget these ends are stored. */
+  /**
+   * Records that the changes are stored because of which the workers may forget their ends up to
+   * the given numbers.
+   */
   acknowledge(acks: ReadonlyMap<string, number>): void {
     for (const [id, number] of acks) {
       const worker = this.#state.workers.get(id);
@@ -265,17 +288,23 @@
     }
   }
 
-  /** Jobs without anything at a worker, as of the newest round. */
+  /** Returns the idle jobs and the use of the workers, as of the latest round. */
   backlog(nowMs: number): Backlog {
     return this.#placer.backlog(nowMs);
   }
 
-  /** By lane that takes no more jobs now: when callers may come back, in milliseconds. */
+  /**
+   * Returns, for each capacity class that accepts no more jobs now, after how many milliseconds
+   * callers may retry.
+   */
   retryAfter(nowMs: number): RetryAfter {
     return this.#placer.retryAfter(nowMs);
   }
 
-  /** The first due time of an occurrence that is still to come; undefined if there is none. */
+  /**
+   * Returns the earliest due time of an occurrence that is not open yet; undefined if there is
+   * none.
+   */
   nextDueMs(): number | undefined {
     let next: number | undefined;
     for (const job of this.#state.jobs.values()) {
@@ -285,7 +314,10 @@
     return next;
   }
 
-  /** A task that an earlier node has bound: its worker must be asked before anything else. */
+  /**
+   * Adds the run of a task that an earlier leader bound. Its worker must be asked before the task
+   * is started again.
+   */
   #inherit(job: JobProgress, ref: TaskRef, task: TaskProgress): void {
     let worker = this.#state.workers.get(task.worker);
     if (!worker) {
@@ -314,9 +346,10 @@
     const key = taskName(order.task);
     const run = worker.runs.get(key);
     if (!run || run.run !== order.run) return;
-    // Its next list may be two seconds away, and it may say before that it leaves.
+    // The worker's next report may come two seconds later, and by then it may have announced that
+    // it is leaving.
     if (outcome === 'done') run.confirmed = true;
-    // A run that is over there may have ended well: only the worker's lists can tell.
+    // A run that is over at the worker may have succeeded: only the worker's reports show this.
     if (outcome === 'done' || outcome === 'unknown' || outcome === 'superseded') {
       run.sendCompletedMs = sendCompletedMs;
       return;
@@ -326,7 +359,7 @@
     this.#state.releaseRun(worker, key, run);
   }
 
-  /** Releases what runs on workers whose leases are over without a word from them. */
+  /** Releases the runs of workers whose leases expired without an answer. */
   #expireSilent(nowMs: number): void {
     for (const worker of this.#state.workers.values()) {
       const isSilent =
@@ -345,8 +378,9 @@
   }
 
   /**
-   * Releases all runs but those whose start may be sent again yet: after seconds in which this node
-   * stood still, it would begin there what is begun elsewhere as well. Its answer is never far.
+   * Releases all runs except those whose start may still be sent again. If this node stalled for
+   * seconds, such a start might run a task that has also been started elsewhere. The answer to it
+   * arrives soon.
    */
   #releaseSent(worker: WorkerState): void {
     for (const [key, run] of worker.runs) {
@@ -372,7 +406,7 @@
     }
   }
 
-  /** Stops what runs for jobs that are over, and what no job asks for. */
+  /** Stops the runs that no job needs, and those whose worker is about to leave. */
   #stopUnwanted(nowMs: number): void {
     for (const worker of this.#state.workers.values()) {
       for (const run of worker.runs.values()) {
--- a/packages/jobs/src/task-ref.ts
+++ b/packages/jobs/src/task-ref.ts
@@ -1,4 +1,4 @@
-/** Names one task of one occurrence of a job. */
+/** Identifies one task of one occurrence of a job. */
 export interface TaskRef {
   readonly jobId: string;
   readonly occurrence: number;
@@ -6,12 +6,12 @@
   readonly index: number;
 }
 
-/** The task's name in logs and in orders to workers. */
+/** Returns the task's name in logs and in orders to workers. */
 export function taskName({ jobId, occurrence, step, index }: TaskRef): string {
   return `${jobId}.${occurrence}.${step}.${index}`;
 }
 
-/** Reads a task's name back; undefined for a text that is none. */
+/** Parses a task's name; returns undefined if the text is not one. */
 export function parseTaskName(name: string): TaskRef | undefined {
   const [jobId, ...rest] = name.split('.');
   const [occurrence, step, index] = rest.map(Number);
--- a/packages/jobs/src/worker.ts
+++ b/packages/jobs/src/worker.ts
@@ -1,25 +1,25 @@
-/** What a worker offers, or what a task claims. */
+/** Resources that a worker offers or a task claims. */
 export interface Capacity {
   readonly cpuMilli: number;
   readonly memMb: number;
   readonly gpus: number;
 }
 
-/** What a worker says of itself through the store. */
+/** What a worker publishes about itself through the store. */
 export interface WorkerEntry {
-  /** One life of the worker process; a restarted worker has another. */
+  /** Identifies one incarnation of the worker process; a restarted worker has another id. */
   readonly id: string;
   readonly address: string;
   readonly pool: string;
   readonly dataCentre: string;
   readonly draining: boolean;
-  /** While draining: how much longer it stays at least. */
+  /** The least time until a draining worker leaves, in milliseconds. */
   readonly remainingMs: number;
   readonly capacity: Capacity;
   readonly labels: readonly string[];
 }
 
-/** How a run ended, as its worker lists it. */
+/** How a run ended, as reported by its worker. */
 export type EndKind = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone';
 
 export interface RunningRow {
@@ -29,14 +29,14 @@
   /** How much of its speed the task works at, 100 for all. */
   readonly percent: number;
   /**
-   * Of the last half second: the tail latency in milliseconds for a task with a target, else the
-   * processor time in use, in thousandths of a core.
+   * Over the last half second: the tail latency in milliseconds for a task with a target; otherwise
+   * the processor time in use, in thousandths of a core.
    */
   readonly measure: number;
 }
 
 export interface EndedRow {
-  /** Counts the ends of one life of the worker, from 1. */
+  /** Counts the ends of one incarnation of the worker, from 1. */
   readonly number: number;
   readonly task: string;
   readonly run: number;
@@ -44,7 +44,7 @@
   readonly checkpoint: string;
 }
 
-/** A worker's answer to a renewal of its lease: all that it knows. */
+/** A worker's answer to a renewal of its lease: everything that it knows about its runs. */
 export interface WorkerReport {
   readonly clockMs: number;
   readonly running: readonly RunningRow[];
