--- a/packages/jobs/src/test/halted-runs_test.ts
+++ b/packages/jobs/src/test/halted-runs_test.ts
@@ -13,7 +13,7 @@
 
 const BEST_EFFORT = stepSpec({ fills: true, image: 'crunch' });
 
-/** The only task of a job works beside a serving task that misses its target from now on. */
+/** Runs the only task of a job beside a serving task that misses its target from now on. */
 function bestEffortBesideMissedTarget(): {
   harness: SchedulerHarness;
   web: Order;
@@ -28,7 +28,7 @@
   return { harness, web: startOf('a1'), bestEffort: startOf('a2') };
 }
 
-/** Plays five seconds of reports, and returns the stops that were ordered. */
+/** Simulates five seconds of reports, and returns the stops that were ordered. */
 function stopsInFiveSeconds({
   harness,
   web,
@@ -50,9 +50,9 @@
   return stops;
 }
 
-test('the only task at work of a job goes on elsewhere when it is halted', () => {
-  // Guards against a job that is taken to be at work while its task is halted for half a minute, and
-  // other workers have room.
+test('the only running task of a job is moved to another worker when it is halted', () => {
+  // Guards against counting a job as running while its only task has been halted for half a minute
+  // and other workers have capacity.
   const scene = bestEffortBesideMissedTarget();
   scene.harness.scheduler.listWorker(workerEntry('w2'), scene.harness.nowMs);
   scene.harness.report('w2');
@@ -68,7 +68,7 @@
   );
 });
 
-test('a halted task stays where no other worker has a place for it', () => {
-  // Guards against work that is thrown away in vain.
+test('a halted task is not stopped if it fits on no other worker', () => {
+  // Guards against losing work by a stop that helps nobody.
   assert.deepEqual(stopsInFiveSeconds(bestEffortBesideMissedTarget()), []);
 });
--- a/packages/jobs/src/test/idle-job-log_test.ts
+++ b/packages/jobs/src/test/idle-job-log_test.ts
@@ -3,9 +3,9 @@
 import { JobProgress } from '../job-progress.js';
 import { SchedulerHarness, jobSpec, stepSpec, workerEntry } from './scheduler-harness.js';
 
-test('a job that is idle for long is told once, with what keeps it from how many workers', () => {
-  // Guards against idle jobs whose cause no line tells: a full cluster and an order that leaves
-  // them out look alike from outside.
+test('a job that is idle for long is logged once, with the number of workers by obstacle', () => {
+  // Guards against idle jobs without a logged cause: from outside, a full cluster looks the same as
+  // an order of jobs that leaves some of them out.
   const harness = new SchedulerHarness([
     workerEntry('w1'),
     workerEntry('w2', { labels: ['fast'] }),
@@ -33,9 +33,9 @@
   assert.equal(harness.scheduler.backlog(harness.nowMs).idleJobs, 0);
 });
 
-test('a job that an earlier node has left idle goes on being idle since then', () => {
-  // Guards against idle times that begin anew with each scheduling node: with two of them a job waits
-  // twice as long for its turn.
+test('the idle time of a job continues under a new leader', () => {
+  // Guards against idle times that restart with each new leader: after a takeover a job would wait
+  // twice as long for its priority start.
   const harness = new SchedulerHarness([]);
   const inherited = new JobProgress(jobSpec([stepSpec()], { id: 'left' }));
   inherited.openDue(harness.nowMs);
--- a/packages/jobs/src/test/late-ends_test.ts
+++ b/packages/jobs/src/test/late-ends_test.ts
@@ -13,7 +13,7 @@
 
 const SECOND = stepSpec({ after: [0] });
 
-/** A job whose first task runs on a worker that falls silent until its leases are over. */
+/** A job whose first task runs on a worker that is silent until its leases have expired. */
 function silentWorker(steps = [FIRST, SECOND]): [SchedulerHarness, Order & { kind: 'start' }] {
   const harness = new SchedulerHarness([workerEntry('w1')]);
   harness.submit(jobSpec(steps));
@@ -25,17 +25,18 @@
   return [harness, start!];
 }
 
-test('a task that ended well on a worker whose leases are over is not begun again', () => {
-  // Guards against work done twice, and against a job that waits for a task that is done: for
-  // seconds its next step was ready and nothing of it at work.
+test('a task that succeeded on a worker whose leases have expired is not started again', () => {
+  // Guards against repeating work, and against a job that waits for a task that is already done:
+  // its next step was ready for seconds while none of its tasks ran.
   const [harness, start] = silentWorker();
   harness.report('w1', { ended: [harness.end(start, 'done')] });
   const steps = harness.starts().map(({ task }) => task.step);
   assert.deepEqual(steps, [1]);
 });
 
-test('a later run of a task that has ended well is stopped, and its end changes nothing', () => {
-  // Guards against the same where the task was begun elsewhere before the worker was heard of again.
+test('a later run of a task that has succeeded is stopped, and its end has no effect', () => {
+  // Guards against the same if the task was started on another worker before the first one answered
+  // again.
   const [harness, start] = silentWorker();
   harness.scheduler.listWorker(workerEntry('w2'), harness.nowMs);
   harness.report('w2');
@@ -59,8 +60,8 @@
   assert.equal(harness.scheduler.jobs.values().next().value!.state, 'completed');
 });
 
-test('a lasting task that ended well on a worker whose leases are over is begun again', () => {
-  // Guards against a lasting task that is taken to be done for good.
+test('a long-running task that ended on a worker whose leases have expired is started again', () => {
+  // Guards against considering a long-running task as done for good.
   const [harness, start] = silentWorker([stepSpec({ lasting: true })]);
   harness.report('w1', { ended: [harness.end(start, 'done')] });
   assert.equal(harness.starts().length, 1);
--- a/packages/jobs/src/test/leaving-workers_test.ts
+++ b/packages/jobs/src/test/leaving-workers_test.ts
@@ -28,9 +28,9 @@
   return { harness, start };
 }
 
-test('a lasting task leaves a draining worker before the worker does', () => {
-  // The worker says that it drains. Left there, the task would end with it and be away until the
-  // worker's leases are surely over, six seconds later.
+test('a long-running task is moved off a draining worker before the worker ends', () => {
+  // If the task stayed, it would end with its worker, and would be unavailable until the worker's
+  // leases have certainly expired, six seconds later.
   const { harness, start } = oneLongRunningTask();
   harness.scheduler.listWorker(
     workerEntry('w1', { draining: true, remainingMs: 2_000 }),
@@ -43,9 +43,9 @@
   assert.equal(harness.starts()[0]?.worker, 'w2');
 });
 
-test('a lasting task leaves a draining worker also where no list has named it yet', () => {
-  // A task has just been started; its worker's next list may be two seconds away. Before that the
-  // worker says that it drains. Waiting for the list would leave the task there until it is gone.
+test('a long-running task is moved off a draining worker before a report has listed it', () => {
+  // The next report of the worker may come two seconds after the start. If the scheduler waited for
+  // it before it stops the task, the task would stay until the worker has ended.
   const harness = new SchedulerHarness([workerEntry('w1')]);
   harness.submit(jobSpec([LONG_RUNNING]));
   const [start] = harness.starts();
@@ -55,9 +55,10 @@
   assert.equal(harness.stops()[0]?.run, start!.run);
 });
 
-test('a worker that is not listed and cannot be reached keeps its tasks until its leases are over', () => {
-  // A cut may refuse connections and let the worker's entry lapse while its tasks run on: what
-  // looks like a worker that has left is none. Only its leases end them for certain.
+test('an unlisted, unreachable worker keeps its tasks until its leases have expired', () => {
+  // A network partition may refuse connections and let the worker's entry expire while its tasks
+  // keep running. Such a worker looks like one that has left, but only its leases end its tasks for
+  // certain.
   const { harness, start } = oneLongRunningTask();
   harness.scheduler.leaseSent('w1', harness.nowMs + 6_100);
   harness.scheduler.unlistWorker('w1');
@@ -72,9 +73,10 @@
   assert.equal(again?.run, start.run + 1);
 });
 
-test('what may run on a worker that a new leader cannot reach waits for its leases', () => {
-  // The leader dies and a worker is gone with it, or only cut off. The next leader finds a lasting
-  // task bound there and no entry. Started at once it might run twice; never started it is lost.
+test('a task bound to a worker that a new leader cannot reach waits until its leases have expired', () => {
+  // The leader fails, and with it a worker fails or is cut off. The next leader finds a
+  // long-running task bound to a worker without an entry. Started at once it might run twice; never
+  // started it would be lost.
   const { harness } = oneLongRunningTask();
   const job = harness.scheduler.jobs.get(JOB_ID)!;
   const next = new SchedulerHarness([workerEntry('w2')]);
@@ -87,10 +89,10 @@
   assert.equal(next.starts()[0]?.worker, 'w2');
 });
 
-test('the entry of an earlier life does not end what runs in the present one', () => {
-  // A worker crashes behind a cut and starts again at its address under a new id. The entry of its
-  // earlier life is read once more afterwards, as lists come in no order. Which of two entries is
-  // the older one cannot be told from them; the worker itself tells when it is asked.
+test('the entry of an earlier incarnation of a worker does not end runs of the current one', () => {
+  // A worker crashes while it is cut off and restarts at the same address under a new id. The entry
+  // of its earlier incarnation is read again later, because lists arrive in any order. The entries
+  // do not tell which of them is older; the worker's answer does.
   const { harness, start } = oneLongRunningTask();
   const { address } = workerEntry('w1');
   harness.scheduler.listWorker(workerEntry('w0', { address }), harness.nowMs);
--- a/packages/jobs/src/test/occurrences_test.ts
+++ b/packages/jobs/src/test/occurrences_test.ts
@@ -9,7 +9,7 @@
   workerEntry,
 } from './scheduler-harness.js';
 
-test('an occurrence starts at its time and not before, and the job ends with the last', () => {
+test('an occurrence starts at its due time and not before, and the job completes with the last', () => {
   const harness = new SchedulerHarness([workerEntry('w1')]);
   const schedule = { count: 2, firstDueMs: 5_000, intervalMs: 1_000 };
   const job = harness.submit(jobSpec([stepSpec()], { schedule }));
@@ -30,8 +30,9 @@
   assert.equal(job.state, 'completed');
 });
 
-test('a gang starts as a whole, with one number, or not at all', () => {
-  // Three members and room for two: started in part, those two would hold their room and wait.
+test('a gang starts as a whole, with one run number, or not at all', () => {
+  // There are three members and capacity for two. If only two were started, they would hold their
+  // capacity and wait.
   const small = { capacity: { cpuMilli: 2_000, memMb: 16_000, gpus: 0 } };
   const harness = new SchedulerHarness([workerEntry('w1', small)]);
   harness.submit(jobSpec([stepSpec({ gang: true, taskCount: 3 })]));
@@ -45,7 +46,7 @@
 });
 
 test('a gang that lost a member is stopped, and starts again as a whole', () => {
-  // One member finds no room. The others would wait for it until their time is over.
+  // One member is rejected for lack of capacity. The others would wait for it until they time out.
   const harness = new SchedulerHarness([workerEntry('w1')]);
   harness.submit(jobSpec([stepSpec({ gang: true, taskCount: 2 })]));
   const [first, second] = harness.starts();
@@ -62,7 +63,7 @@
   );
 });
 
-test('progress reads back as it was written', () => {
+test('decoding encoded progress returns the same progress', () => {
   const harness = new SchedulerHarness([workerEntry('w1')]);
   const job = harness.submit(jobSpec([stepSpec({ taskCount: 3 }), stepSpec({ after: [0] })]));
   const starts = harness.starts();
--- a/packages/jobs/src/test/overloaded-cluster.ts
+++ b/packages/jobs/src/test/overloaded-cluster.ts
@@ -10,25 +10,30 @@
 /** Each worker has eight processors. */
 const CORES = 8 * WORKERS.length;
 
-/** What services reserve stays as it is for so long, in seconds. */
+/** How long the services' reservations stay unchanged, in seconds. */
 const SERVICE_CHANGE_S = 5;
 
-/** A task of a service claims one processor and answers callers of its own. */
+/** A service task claims one processor and serves callers of its own. */
 const SERVICE = stepSpec({ lasting: true, targetMs: 20, image: 'web' });
 
 /** A best-effort task that takes a second. */
 export const BEST_EFFORT: StepSpec = stepSpec({ fills: true, image: 'crunch' });
 
-/** What a crowded cluster is played with. */
+/** The load of an overloaded cluster. */
 export interface LoadProfile {
   readonly seed: number;
-  /** Services reserve at least and at most so much of the processors, in percent; drawn anew every five seconds. */
+  /**
+   * The least and the most of the processors that services reserve, in percent; chosen again every
+   * five seconds.
+   */
   readonly services: readonly [number, number];
-  /** Idle times count while less is reserved, in percent. */
+  /** Idle times count while less than this part of the processors is reserved, in percent. */
   readonly watchedBelow: number;
 }
 
-/** Services come and go while crowds of best-effort jobs wait. */
+/**
+ * Simulates a cluster in which services start and end while a backlog of best-effort jobs waits.
+ */
 export class OverloadedCluster {
   readonly #load: LoadProfile;
 
@@ -42,10 +47,13 @@
 
   #second = 0;
 
-  /** The longest time on end for which an accepted job had nothing at work while it was watched, in ms. */
+  /**
+   * The longest time without interruption for which an accepted job had no running task while idle
+   * times counted, in milliseconds.
+   */
   longestIdleMs = 0;
 
-  refusedCount = 0;
+  rejectedCount = 0;
 
   constructor(load: LoadProfile) {
     this.#load = load;
@@ -58,7 +66,7 @@
     for (const id of WORKERS) this.#cluster.harness.report(id);
   }
 
-  /** So many jobs come that are late for good, each of two steps with so many tasks. */
+  /** Submits `count` jobs that can only end late, each of two steps with `taskCount` tasks. */
   submitLate(count: number, taskCount: number): void {
     const { harness } = this.#cluster;
     const late = { ...BEST_EFFORT, taskCount };
@@ -66,12 +74,15 @@
       const id = `late${i}-${harness.nowMs}`;
       const job = jobSpec([late, { ...late, after: [0] }], { id, acceptedMs: 0 });
       const waitMs = retryDelayMs(job, QUEUE, harness.scheduler.retryAfter(harness.nowMs));
-      if (waitMs !== undefined) this.refusedCount += 1;
+      if (waitMs !== undefined) this.rejectedCount += 1;
       else harness.submit(job);
     }
   }
 
-  /** Plays so many seconds, in each of which so many jobs come that can end in time. */
+  /**
+   * Simulates `seconds` seconds, in each of which `arrivals` jobs are submitted that can end in
+   * time.
+   */
   simulate(seconds: number, arrivals = 0): void {
     const endSecond = this.#second + seconds;
     for (; this.#second < endSecond; this.#second += 1) {
@@ -84,7 +95,7 @@
     }
   }
 
-  /** Submits or cancels services until these reserve what is drawn. */
+  /** Submits or cancels services until they reserve the chosen number of processors. */
   #adjustServices(): void {
     const { harness } = this.#cluster;
     const [min, max] = this.#load.services;
--- a/packages/jobs/src/test/pacing_test.ts
+++ b/packages/jobs/src/test/pacing_test.ts
@@ -12,7 +12,7 @@
 const SERVING = stepSpec({ lasting: true, targetMs: 20, image: 'web', cpuMilli: 4_000 });
 const BEST_EFFORT = stepSpec({ fills: true, image: 'crunch', taskCount: 2, checkpointing: true });
 
-/** One worker with a serving task and two filling ones, all started. */
+/** One worker with a serving task and two best-effort ones, all started. */
 function coLocatedTasks(): { harness: SchedulerHarness; web: Order; bestEffort: Order[] } {
   const harness = new SchedulerHarness([workerEntry('w1')]);
   harness.submit(jobSpec([SERVING], { id: '00000000000000a1' }));
@@ -23,10 +23,10 @@
   return { harness, web, bestEffort: starts.filter((start) => start !== web) };
 }
 
-test('a target missed for over a second brings all filling tasks beside it to a halt', () => {
-  // The serving task's users wait: its tail is over its target in report after report. Nothing is
-  // known of the images yet, or what is known blames nobody, while the filling tasks beside it go
-  // on. Whatever the cause, within two seconds none of them may be working there.
+test('a target missed for over a second halts all best-effort tasks on the worker', () => {
+  // The serving task's tail latency is over its target in report after report. Either nothing is
+  // known about the images yet, or no image is known to interfere, and the best-effort tasks beside
+  // it keep running. Whatever the cause, none of them may be running there after two seconds.
   const { harness, web, bestEffort } = coLocatedTasks();
   const paces = new Map<string, number>();
   for (let report = 0; report < 5; report += 1) {
@@ -46,9 +46,9 @@
   assert.deepEqual([...paces.values()], [0, 0]);
 });
 
-test('a target missed for over a second also halts filling tasks that are not to blame', () => {
-  // What is known of the images is wrong: it blames the loud one, which is halted, and the tail
-  // stays too long. The quiet one works on; what was learned does not change within seconds.
+test('a target missed for over a second also halts best-effort tasks not known to interfere', () => {
+  // The model wrongly blames the loud image. It is halted, but the tail latency stays too long. The
+  // quiet image keeps running, because what was learned does not change within seconds.
   const harness = new SchedulerHarness([workerEntry('w1')]);
   for (let i = 0; i < 100; i += 1) {
     const parts = new Map([['loud', i % 2 ? 0.3 : 0]]);
@@ -77,9 +77,8 @@
   assert.equal(quietPace, 0);
 });
 
-test('no filling task is started beside a serving task that is over its target', () => {
-  // A report says that the tail is too long. The next filling job would start at full speed and
-  // make the seconds over the target longer.
+test('no best-effort task is started beside a serving task that misses its target', () => {
+  // The next best-effort job would start at full speed and prolong the time over the target.
   const { harness, web } = coLocatedTasks();
   harness.nowMs += 500;
   harness.report('w1', { running: [runningRow(web, { percent: 100, measure: 30 })] });
--- a/packages/jobs/src/test/round-work_test.ts
+++ b/packages/jobs/src/test/round-work_test.ts
@@ -14,10 +14,10 @@
 
 const JOBS = 500;
 
-/** So many kinds of tasks are among the jobs; those of one kind can run on the same workers. */
+/** The number of kinds of tasks among the jobs; tasks of one kind can run on the same workers. */
 const KINDS = 3;
 
-/** Counts looks at workers: each asks whether the worker is draining. */
+/** Counts checks of workers: each of them reads whether the worker is draining. */
 class CountedWorkers {
   checks = 0;
 
@@ -42,37 +42,37 @@
   }
 }
 
-test('what a round looks at does not rise with the number of jobs that wait', () => {
-  // After a takeover hundreds of jobs wait for the room of few. Each round looked at every worker
-  // for each of them, in one piece: with 440 workers and 1,900 jobs for seconds on a node with a
-  // third of a core, which renewed no lease meanwhile. Where one task found no place, the next one
-  // that claims the same finds none in that round either.
+test('worker checks in a round do not increase with the number of waiting jobs', () => {
+  // After a takeover hundreds of jobs wait for the capacity of few. Evaluating every worker for
+  // each of them in one round takes seconds with 440 workers and 1,900 jobs on a node with a third
+  // of a core, which renews no lease meanwhile. If one task does not fit on any worker, the next
+  // one with the same claim does not fit in that round either.
   const workers = new CountedWorkers();
   const harness = new SchedulerHarness(workers.entries);
   submit(harness, JOBS);
   assert.equal(harness.starts().length, WORKERS);
   workers.checks = 0;
   assert.equal(harness.starts().length, 0);
-  // One look for each kind and worker, and one for each run whether it must leave.
+  // One check for each kind and worker, and one for each run whether it must be evacuated.
   const maxChecks = (KINDS + 1) * WORKERS;
-  assert.ok(workers.checks <= maxChecks, `${workers.checks} looks`);
+  assert.ok(workers.checks <= maxChecks, `${workers.checks} checks`);
 });
 
-test('looks at workers in a round that fills them follow the starts, not all that waits', () => {
-  // The first round of a new term finds room and starts many tasks. After each start it looked at
-  // all workers anew, though but one of them had changed.
+test('worker checks in a round that fills the workers depend on its starts, not on all waiting jobs', () => {
+  // The first round of a new term finds capacity and starts many tasks. Only one worker changes
+  // with each start, so the others need not be evaluated again.
   const workers = new CountedWorkers();
   const harness = new SchedulerHarness(workers.entries);
   submit(harness, JOBS);
   workers.checks = 0;
   const starts = harness.starts().length;
   assert.equal(starts, WORKERS);
-  // One for each kind and worker, one for each kind after a start, and one for each run.
+  // One check for each kind and worker, one for each kind after a start, and one for each run.
   const maxChecks = KINDS * WORKERS + (KINDS + 1) * starts;
-  assert.ok(workers.checks <= maxChecks, `${workers.checks} looks`);
+  assert.ok(workers.checks <= maxChecks, `${workers.checks} checks`);
 });
 
-/** Limits of a round whose clock goes on by one with each look at a worker. */
+/** Limits of a round whose clock advances by one with each check of a worker. */
 function limitsByChecks(
   workers: CountedWorkers,
   placingMs: number,
@@ -81,7 +81,10 @@
   return { placingMs, starts, clockMs: () => workers.checks };
 }
 
-/** Decides within limits; returns the jobs whose tasks are started, and whether there is more. */
+/**
+ * Runs a round within limits; returns the jobs whose tasks are started, and whether the round was
+ * cut short.
+ */
 function startedJobs(harness: SchedulerHarness, limits: RoundLimits): [string[], boolean] {
   harness.nowMs += 1;
   const { orders, isCutShort } = harness.scheduler.decide(harness.nowMs, harness.nowMs, limits);
@@ -89,10 +92,11 @@
   return [started, isCutShort];
 }
 
-test('a round that runs out of time places what is urgent, and the next ones the rest', () => {
-  // Thousands of tasks wait, no two of them alike. Placed in one piece they keep the node from
-  // renewing leases. Cut short, the round must have begun with the lasting task whose worker is
-  // gone: its callers are without it. The others follow until none waits, and the caller is told so.
+test('a round that runs out of time places urgent tasks, and the next rounds the rest', () => {
+  // Thousands of tasks wait, no two of them alike. Placed in one round they would keep the node
+  // from renewing leases. A round that is cut short must have started with the long-running task
+  // whose worker has ended, because its callers are without it. The others follow in the next
+  // rounds, and each round reports whether any are left.
   const workers = new CountedWorkers();
   const harness = new SchedulerHarness(workers.entries);
   const lasting = stepSpec({ lasting: true, cpuMilli: 100 });
@@ -108,9 +112,9 @@
   for (let hasMore = true; hasMore;) {
     const before = workers.checks;
     const [started, isCutShort] = startedJobs(harness, limitsByChecks(workers, 10 * WORKERS));
-    // The last kind is looked up to its end; a worker with runs is looked at once more.
+    // The last kind is evaluated on every worker; a worker with runs is checked once more.
     const maxChecks = 11 * WORKERS + order.length + started.length + WORKERS;
-    assert.ok(workers.checks - before <= maxChecks, `${workers.checks - before} looks`);
+    assert.ok(workers.checks - before <= maxChecks, `${workers.checks - before} checks`);
     assert.ok(started.length > 0);
     order.push(...started);
     hasMore = isCutShort;
@@ -119,10 +123,10 @@
   assert.deepEqual([...order].sort(), ['lasting', ...waiting].sort());
 });
 
-test('a task that has room is started although more urgent ones without room fill every round', () => {
-  // Hundreds of jobs that fit nowhere come first by their deadlines, each of another size. Every
-  // round spent its time on them, and the job behind them, for which all workers had room, waited
-  // for ever.
+test('a task that fits is started although more urgent ones that do not fit use up every round', () => {
+  // Hundreds of jobs that fit on no worker come first by their deadlines, each of another size. If
+  // every round spent its time on them, the job after them, for which all workers have capacity,
+  // would never start.
   const workers = new CountedWorkers();
   const harness = new SchedulerHarness(workers.entries);
   for (let i = 0; i < 300; i += 1) {
@@ -135,15 +139,15 @@
     const [jobs, isCutShort] = startedJobs(harness, limitsByChecks(workers, 10 * WORKERS));
     started.push(...jobs);
     hasMore = isCutShort;
-    assert.ok(rounds < 40, 'more rounds than it takes to try each once');
+    assert.ok(rounds < 40, 'more rounds than needed to try each step once');
   }
   assert.deepEqual(started, ['small']);
 });
 
-test('a round that may place nothing still stops, releases and acknowledges', () => {
-  // While starts wait to be sent nothing more is placed. A cancelled job must end all the same, ends
-  // must be acknowledged, or workers list them again and again, and tasks of a worker whose leases
-  // are over must be free for their next start.
+test('a round that may place nothing still stops runs, releases tasks and acknowledges ends', () => {
+  // While starts wait to be sent, no more tasks are placed. Even then a cancelled job must be
+  // stopped, ends must be acknowledged, because workers list them again otherwise, and tasks of a
+  // worker whose leases have expired must be released for their next start.
   const workers = new CountedWorkers();
   const harness = new SchedulerHarness(workers.entries);
   const step = stepSpec({ cpuMilli: 8_000 });
@@ -169,8 +173,8 @@
   assert.ok(decisions.isCutShort);
 });
 
-test('a gang is started whole although it is larger than what a round may start', () => {
-  // A part of a gang would hold its room and wait in vain for the next round.
+test('a gang is started as a whole even if it exceeds the starts of a round', () => {
+  // A part of a gang would hold its capacity and wait in vain for the next round.
   const harness = new SchedulerHarness([workerEntry('w1')]);
   harness.submit(jobSpec([stepSpec({ gang: true, taskCount: 5 })], { id: 'gang' }));
   harness.submit(jobSpec([stepSpec()], { id: 'next' }));
@@ -179,9 +183,9 @@
   assert.deepEqual(startedJobs(harness, limits), [['next'], false]);
 });
 
-test('room that a gang tried and gave back is there for the next tasks of the same kind', () => {
-  // The first gang has one member too many: its trial fills the workers, and leaves them empty. The
-  // second one, whose members claim the same, must not be told that there is no room.
+test('the capacity of an undone gang placement is free for the next tasks of the same kind', () => {
+  // The first gang has one member too many: its tentative placement fills the workers and is
+  // undone. The second one, whose members have the same claim, must still find capacity.
   const harness = new SchedulerHarness([workerEntry('w1'), workerEntry('w2')]);
   const member = { gang: true, cpuMilli: 8_000 };
   harness.submit(jobSpec([stepSpec({ ...member, taskCount: 3 })], { id: 'three' }));
@@ -190,9 +194,9 @@
   assert.deepEqual(started, ['two', 'two']);
 });
 
-test('the tasks of one large step are divided over rounds as well', () => {
-  // A caller may ask for a thousand tasks in one step. The caller of the last round is told that
-  // nothing is left, else the node would go through all that waits again and again.
+test('the tasks of one large step are spread over several rounds', () => {
+  // A caller may ask for a thousand tasks in one step. The last round must report that nothing is
+  // left; otherwise the node would try all waiting tasks again and again.
   const workers = new CountedWorkers();
   const harness = new SchedulerHarness(workers.entries);
   harness.submit(jobSpec([stepSpec({ taskCount: 100 })], { id: 'wide' }));
--- a/packages/jobs/src/test/scheduler-harness.ts
+++ b/packages/jobs/src/test/scheduler-harness.ts
@@ -55,13 +55,13 @@
   };
 }
 
-/** A scheduler with its inputs at hand, on a clock that the test moves. */
+/** A scheduler with helpers for its inputs, on a clock that the test moves. */
 export class SchedulerHarness {
   nowMs = 1_000;
 
   readonly events: string[] = [];
 
-  /** The fields of the notes, in their order. */
+  /** The fields of the logged events, in the order of `events`. */
   readonly eventFields: Record<string, string | number | boolean>[] = [];
 
   readonly model = new TailLatencyModel();
@@ -87,7 +87,7 @@
     }
   }
 
-  /** The fields of every note of one event. */
+  /** Returns the fields of every logged event with this name. */
   fieldsOf(event: string): Record<string, string | number | boolean>[] {
     return this.eventFields.filter((_, i) => this.events[i] === event);
   }
@@ -102,7 +102,7 @@
     return this.scheduler.decide(this.nowMs, this.nowMs);
   }
 
-  /** Decides, and returns the starts alone. */
+  /** Runs a round, and returns only its starts. */
   starts(): (Order & { kind: 'start' })[] {
     return this.decide().orders.filter((order) => order.kind === 'start');
   }
@@ -121,7 +121,7 @@
     this.scheduler.report(worker, report, this.nowMs, this.nowMs);
   }
 
-  /** The row with which a worker lists an end. */
+  /** Returns the row with which a worker reports the end of an order's run. */
   end(order: Order, how: EndedRow['how'], checkpoint = ''): EndedRow {
     const number = (this.#ends.get(order.worker) ?? 0) + 1;
     this.#ends.set(order.worker, number);
@@ -129,7 +129,7 @@
   }
 }
 
-/** The row with which a worker lists that an order's run is there. */
+/** Returns the row with which a worker reports that an order's run is running. */
 export function runningRow(order: Order, changes: Partial<RunningRow> = {}): RunningRow {
   const row = {
     task: taskName(order.task),
--- a/packages/jobs/src/test/serving-colocation_test.ts
+++ b/packages/jobs/src/test/serving-colocation_test.ts
@@ -6,9 +6,10 @@
   return stepSpec({ lasting: true, targetMs: 20, image, cpuMilli });
 }
 
-test('two serving images share a worker only where neither finds room elsewhere', () => {
-  // Guards against workers closed to best-effort images one by one: a large worker with much free
-  // drew serving tasks of every image, and what disturbs any of them found no place there.
+test('two serving images share a worker only if there is no capacity elsewhere', () => {
+  // Guards against workers that become closed to best-effort images one after the other: a large
+  // worker with much free capacity attracted serving tasks of every image, and best-effort images
+  // that interfere with any of them could not be placed there.
   const large = { capacity: { cpuMilli: 48_000, memMb: 128_000, gpus: 0 } };
   const harness = new SchedulerHarness([workerEntry('large', large), workerEntry('small')]);
   harness.submit(jobSpec([serving('web', 8_000)], { id: '00000000000000a1' }));
--- a/packages/jobs/src/test/serving-loads_test.ts
+++ b/packages/jobs/src/test/serving-loads_test.ts
@@ -15,7 +15,7 @@
 
 const SWING = 0.9;
 
-/** Figures between -1 and 1 that are the same in every run. */
+/** Returns values between -1 and 1 that are the same in every run. */
 function noise(i: number): number {
   const scattered = Math.sin(i * 12.9898) * 43_758.5453;
   return 2 * (scattered - Math.floor(scattered)) - 1;
@@ -25,7 +25,9 @@
   return MEAN + SWING * Math.sin((2 * Math.PI * nowMs) / periodMs + phase);
 }
 
-/** The root of the mean square error of a forecast of 2.5 s, over 20 s after as long a history. */
+/**
+ * Returns the root mean square error of forecasts over 2.5 s, during 20 s after a history of 25 s.
+ */
 function forecastError(periodMs: number, steps: number): number {
   const loads = new ServingLoads();
   const squares: number[] = [];
@@ -45,23 +47,26 @@
   return Math.sqrt(squares.reduce((sum, x) => sum + x, 0) / squares.length);
 }
 
-test('loads that swing: the low that comes within a task is foreseen, whatever the period', () => {
-  // Guards against tasks that are started at the crest of a serving task's slack, and halted when
-  // it falls two seconds later. The mean alone would be wrong by 0.6 and more.
+test('the minimum of an oscillating slack is forecast for every period', () => {
+  // Guards against tasks that are started at the peak of a serving task's slack and halted when it
+  // falls two seconds later. The mean alone would be wrong by at least 0.6.
   for (const periodMs of [5_000, 7_500, 10_000, 14_000, 20_000]) {
     const error = forecastError(periodMs, 5);
     assert.ok(error < 0.4, `${periodMs} ms: ${error}`);
   }
 });
 
-test('a load without a swing is forecast at its mean', () => {
+test('a load without an oscillation is forecast at its mean', () => {
   const loads = new ServingLoads();
   const ref = { jobId: 'j', occurrence: 0, step: 0, index: 0 };
   for (let i = 0; i < 200; i += 1) loads.observe(ref, MEAN + 0.5 * noise(i), i * REPORT_MS);
   assert.ok(Math.abs(loads.minSlackAhead(ref, 200 * REPORT_MS, 2_500)! - MEAN) < 0.35);
 });
 
-/** Whether a best-effort task is started at a moment of a swing of 10 s, after 30 s of it. */
+/**
+ * Returns whether a best-effort task is started at a given time in an oscillation with a period of
+ * 10 s, after 30 s of it.
+ */
 function startsAt(atMs: number): boolean {
   const harness = new SchedulerHarness([workerEntry('w1')]);
   for (let i = 0; i < 200; i += 1) {
@@ -94,9 +99,9 @@
   return harness.starts().some(({ task }) => task.jobId.endsWith('a2'));
 }
 
-test('no disturbing task is started at the crest of the slack, where it falls within the task', () => {
-  // At 0.5 s and at 4.5 s of the swing the slack is the same, 2.5. At 0.5 s it stays above that for four
-  // seconds; at 4.5 s it is at its low before the task is done.
+test('no interfering task is started if the slack falls while it would run', () => {
+  // At 0.5 s and at 4.5 s of the oscillation the slack is the same, 2.5. At 0.5 s it stays above
+  // that for four seconds; at 4.5 s it reaches its minimum before the task ends.
   assert.equal(startsAt(500), true);
   assert.equal(startsAt(4_500), false);
 });
--- a/packages/jobs/src/test/simulated-cluster.ts
+++ b/packages/jobs/src/test/simulated-cluster.ts
@@ -2,12 +2,15 @@
 import type { WorkerEntry } from '../worker.js';
 import { SchedulerHarness, jobSpec, runningRow, stepSpec } from './scheduler-harness.js';
 
-/** How long a step of the play takes, in milliseconds. */
+/** The duration of one step of the simulation, in milliseconds. */
 export const STEP_MS = 100;
 
 type Start = Order & { kind: 'start' };
 
-/** Deterministic, so that each run plays the same load. */
+/**
+ * Returns a deterministic source of numbers between 0 and 1, so that each run simulates the same
+ * load.
+ */
 export function pseudoRandom(seed: number): () => number {
   let state = seed;
   return () => {
@@ -17,15 +20,15 @@
 }
 
 /**
- * Plays a cluster that ends each task after a drawn time of 0.5 to 1.5 s, in steps of 100 ms. Lasting
- * tasks go on until they are stopped.
+ * Simulates a cluster in which each task ends after a random time of 0.5 to 1.5 s, in steps of 100
+ * ms. Long-running tasks run until they are stopped.
  */
 export class SimulatedCluster {
   readonly harness: SchedulerHarness;
 
   readonly #random: () => number;
 
-  readonly #running: { readonly order: Start; readonly atMs: number }[] = [];
+  readonly #running: { readonly order: Start; readonly endsMs: number }[] = [];
 
   /** When the first task of each job was started. */
   readonly firstStartMs = new Map<string, number>();
@@ -37,7 +40,7 @@
     this.harness = new SchedulerHarness(workers);
   }
 
-  /** Submits so many jobs in time, of a task each. */
+  /** Submits `count` jobs of one task each that can end in time. */
   submitInTime(count: number, spec = stepSpec()): void {
     for (let i = 0; i < count; i += 1) {
       const id = `${this.harness.nowMs}-${i}`;
@@ -51,7 +54,7 @@
     for (const order of orders) if (order.kind === 'start') this.#start(order);
     harness.nowMs += STEP_MS;
     const stopped = this.#remove((start) => orders.some((order) => isStopOf(order, start)));
-    const ended = this.#remove((_, atMs) => atMs <= harness.nowMs);
+    const ended = this.#remove((_, endsMs) => endsMs <= harness.nowMs);
     for (const { spec, state } of harness.scheduler.jobs.values()) {
       if (state === 'completed') harness.scheduler.dropJob(spec.id);
     }
@@ -72,16 +75,16 @@
     const { jobId } = start.task;
     if (!this.firstStartMs.has(jobId)) this.firstStartMs.set(jobId, this.harness.nowMs);
     const durationMs = this.#isLongRunning(start) ? Infinity : 500 + 1_000 * this.#random();
-    this.#running.push({ order: start, atMs: this.harness.nowMs + durationMs });
+    this.#running.push({ order: start, endsMs: this.harness.nowMs + durationMs });
   }
 
   #isLongRunning({ task }: Start): boolean {
     return this.harness.scheduler.jobs.get(task.jobId)?.spec.steps[task.step]!.lasting ?? false;
   }
 
-  /** The starts that are over now, taken off those under way. */
-  #remove(hasEnded: (order: Start, atMs: number) => boolean): Start[] {
-    const ended = this.#running.filter(({ order, atMs }) => hasEnded(order, atMs));
+  /** Removes the running tasks for which `hasEnded` holds, and returns their starts. */
+  #remove(hasEnded: (order: Start, endsMs: number) => boolean): Start[] {
+    const ended = this.#running.filter(({ order, endsMs }) => hasEnded(order, endsMs));
     for (const end of ended) this.#running.splice(this.#running.indexOf(end), 1);
     return ended.map(({ order }) => order);
   }
--- a/packages/jobs/src/test/start-answers_test.ts
+++ b/packages/jobs/src/test/start-answers_test.ts
@@ -3,9 +3,9 @@
 import { SchedulerHarness, TIMING, jobSpec, stepSpec, workerEntry } from './scheduler-harness.js';
 
 test('a run that has ended before its start was answered is not started again', () => {
-  // The answer to a start is lost. The run ends well, and its report is still on its way when the
-  // start is sent again; the worker now says that this run is over there. Taking that for "did
-  // not run" would book the task a second time, on another worker.
+  // The answer to a start is lost. The run succeeds, and its report is still in flight when the
+  // start is sent again; the worker now answers that this run is over. If that counted as "did not
+  // run", the task would be bound a second time, to another worker.
   const harness = new SchedulerHarness([workerEntry('w1'), workerEntry('w2')]);
   const job = harness.submit(jobSpec([stepSpec()]));
   const [start] = harness.starts();
@@ -18,9 +18,9 @@
   assert.equal(job.state, 'completed');
 });
 
-test('a run that its worker refused as over, and lists nowhere, is started anew', () => {
-  // The worker has stopped a newer run of the task before, so this one never starts there. The
-  // next report shows neither the run nor its end, and only then is another start safe.
+test('a task is started again if its worker rejects the run as superseded and does not report it', () => {
+  // The worker has stopped a newer run of the task before, so this one never starts there. Another
+  // start is safe only after the next report, which lists neither the run nor its end.
   const harness = new SchedulerHarness([workerEntry('w1'), workerEntry('w2')]);
   harness.submit(jobSpec([stepSpec()]));
   const [start] = harness.starts();
@@ -32,10 +32,10 @@
   assert.equal(again?.run, start.run + 1);
 });
 
-test('a start that is still being sent holds its task, however long the worker is silent', () => {
-  // The scheduling node stands still for seconds after it has sent a start that gets no answer, and
-  // no other node takes over. When it goes on, the leases of the worker are over, and the start is
-  // sent again. Given to another worker as well, the task would run twice.
+test('a task stays bound while its start is being sent, however long the worker is silent', () => {
+  // The leader stalls for seconds after it has sent a start that gets no answer, and no other node
+  // takes over. When it continues, the leases of the worker have expired, and the start is sent
+  // again. If the task were bound to another worker as well, it would run twice.
   const harness = new SchedulerHarness([workerEntry('w1')]);
   harness.submit(jobSpec([stepSpec()]));
   const [start] = harness.starts();
--- a/packages/jobs/src/test/starved-jobs_test.ts
+++ b/packages/jobs/src/test/starved-jobs_test.ts
@@ -13,8 +13,8 @@
 
 const BEST_EFFORT = stepSpec({ fills: true, image: 'crunch', checkpointing: true });
 
-test('a steady stream of jobs in time does not starve one that is late for good', () => {
-  // Guards against a job that waits for ever: by urgency alone it came last in every round.
+test('a steady stream of jobs that can end in time does not starve one that can only end late', () => {
+  // Guards against a job that waits forever, because by urgency alone it comes last in every round.
   const small = { capacity: { cpuMilli: 1_000, memMb: 16_000, gpus: 0 } };
   const harness = new SchedulerHarness([workerEntry('w1', small)]);
   harness.nowMs = 60_000;
@@ -32,8 +32,8 @@
   assert.ok(startedMs > 0 && startedMs <= 60_000 + 36_000, `${startedMs}`);
 });
 
-test('jobs that can never be placed do not take the turns of other overdue jobs', () => {
-  // Guards against a handful of impossible jobs that stand first in every round for good.
+test('jobs that can never be placed do not take the priority starts of other starved jobs', () => {
+  // Guards against a handful of jobs that fit on no worker and stay first in every round.
   const small = { capacity: { cpuMilli: 1_000, memMb: 16_000, gpus: 0 } };
   const harness = new SchedulerHarness([workerEntry('w1', small)]);
   harness.nowMs = 60_000;
@@ -54,9 +54,9 @@
   assert.ok(hasStarted);
 });
 
-test('with little reserved, every waiting job has a task at work before late ones have many', () => {
-  // Guards against accepted jobs with nothing running for a minute beside idle processors: the room
-  // that came free went to the jobs that were less late, task by task.
+test('with few reservations every waiting job has a running task before late ones have many', () => {
+  // Guards against accepted jobs without a running task for a minute beside idle processors: the
+  // capacity that became free went, task by task, to the jobs that were less late.
   const harness = new SchedulerHarness([workerEntry('w1')]);
   harness.nowMs = 60_000;
   harness.report('w1');
@@ -68,7 +68,9 @@
   assert.deepEqual(started, new Set([...oldIds, 'late']));
 });
 
-/** Which jobs start beside a serving task whose slack is little more than throttling keeps. */
+/**
+ * Returns the jobs that start beside a serving task whose slack is little more than pacing keeps.
+ */
 function startedBesideLittleSlack(acceptedMs: number): string[] {
   const harness = new SchedulerHarness([workerEntry('w1')]);
   for (let i = 0; i < 200; i += 1) {
@@ -89,24 +91,26 @@
   return harness.starts().map(({ task }) => task.jobId);
 }
 
-test('a task of a starved job works slowly where no worker has slack for its full speed', () => {
-  // Guards against jobs whose image disturbs every serving task: no worker ever had the slack for
-  // a whole task of theirs, though all had the processors. A job in time waits for a better place.
+test('a task of a starved job runs slowly if no worker has slack for its full speed', () => {
+  // Guards against starvation of jobs whose image interferes with every serving task: all workers
+  // had the processors for one of their tasks, but none the slack for it at full speed. A job that
+  // can end in time waits for a better worker.
   assert.deepEqual(startedBesideLittleSlack(60_000), ['job']);
   assert.deepEqual(startedBesideLittleSlack(0), []);
 });
 
 const STARVED_JOBS = 120;
 
-/** One start in so many goes to an overdue job. */
+/** One start in this many is a priority start of a starved job. */
 const STARTS_PER_PRIORITY_START = 20;
 
-/** How long a job may be idle before it is overdue, in milliseconds. */
+/** How long a job may be idle before it is starved, in milliseconds. */
 const STARVED_AFTER_MS = 15_000;
 
 for (const seed of [1, 2]) {
-  test(`each of a crowd of overdue jobs has its turn under a load of 1.1, seed ${seed}`, () => {
-    // Guards against turns that go round among the first jobs of a crowd while the last never begin.
+  test(`each of many starved jobs has a priority start under a load of 1.1, seed ${seed}`, () => {
+    // Guards against priority starts that rotate among the first of many jobs, so that the last
+    // ones never start.
     const workers = ['w1', 'w2', 'w3', 'w4'].map((id) => workerEntry(id));
     const cluster = new SimulatedCluster(seed, workers);
     const { harness } = cluster;
@@ -121,7 +125,7 @@
     let priorityStarts = 0;
     const isWaiting = (): boolean => ids.some((id) => !cluster.firstStartMs.has(id));
     while (isWaiting() && priorityStarts < 2 * STARVED_JOBS) {
-      // 32 processors end 32 tasks a second, and 35 arrive.
+      // 32 processors end 32 tasks a second, and 35 are submitted.
       cluster.submitInTime(3 + (arrivals() < 0.5 ? 1 : 0));
       cluster.step();
       if (harness.nowMs > 60_000 + STARVED_AFTER_MS)
@@ -129,12 +133,15 @@
     }
     const waiting = ids.filter((id) => !cluster.firstStartMs.has(id));
     assert.deepEqual(waiting, []);
-    // By then the others of the crowd had a turn each, and a few went to jobs that came after it.
-    assert.ok(priorityStarts <= 1.25 * STARVED_JOBS, `${priorityStarts} turns`);
+    // By then each of the other starved jobs had a priority start, and a few went to jobs after it.
+    assert.ok(priorityStarts <= 1.25 * STARVED_JOBS, `${priorityStarts} priority starts`);
   });
 }
 
-/** A cluster under a load of 1.25 of small tasks, and the ids of two jobs with a large one each. */
+/**
+ * Returns a cluster under a load of 1.25 from small tasks, and the ids of two jobs with one large
+ * task each.
+ */
 function submitLarge(): [SimulatedCluster, string[]] {
   const workers = ['w1', 'w2', 'w3', 'w4'].map((id) => workerEntry(id));
   const cluster = new SimulatedCluster(4, workers);
@@ -151,7 +158,10 @@
   return [cluster, ids];
 }
 
-/** Plays until something holds, for a minute at most; returns how long it took, in milliseconds. */
+/**
+ * Simulates until the condition holds, for a minute at most; returns how long it took, in
+ * milliseconds.
+ */
 function runUntil(cluster: SimulatedCluster, condition: () => boolean): number {
   const { harness } = cluster;
   const sinceMs = harness.nowMs;
@@ -162,8 +172,8 @@
   return harness.nowMs - sinceMs;
 }
 
-test('a large task of an overdue job runs though smaller ones take every bit of room', () => {
-  // Guards against a wait without bound for room that comes free a processor at a time.
+test('a large task of a starved job runs although smaller ones take all capacity that becomes free', () => {
+  // Guards against an unbounded wait for capacity that becomes free one processor at a time.
   const [cluster, ids] = submitLarge();
   const waitedMs = runUntil(cluster, () => ids.every((id) => cluster.firstStartMs.has(id)));
   // A worker is empty within two seconds of its last start, and the second job waits for the first.
@@ -172,8 +182,8 @@
   assert.equal(cpuMilli, 7_000);
 });
 
-test('room is not held any longer for a job that is cancelled, nor a task of it started', () => {
-  // Guards against starting what nobody asks for any more, and against a worker that stays closed.
+test('capacity is no longer held for a cancelled job, and no task of it is started', () => {
+  // Guards against starting a task that no job needs, and against a worker that stays closed.
   const [cluster] = submitLarge();
   const { harness } = cluster;
   runUntil(cluster, () => harness.events.includes('room-held'));
@@ -186,8 +196,8 @@
   assert.ok(starts.some(({ worker }) => worker === held.worker));
 });
 
-test('room that is held on a worker which is gone is held elsewhere', () => {
-  // Guards against a task that is given to a worker that no longer exists.
+test('capacity held on a worker that has ended is held on another one', () => {
+  // Guards against assigning a task to a worker that no longer exists.
   const [cluster, ids] = submitLarge();
   const { harness } = cluster;
   runUntil(cluster, () => harness.events.includes('room-held'));
--- a/packages/jobs/src/test/tail-latency-model_test.ts
+++ b/packages/jobs/src/test/tail-latency-model_test.ts
@@ -11,10 +11,10 @@
 
 const TARGET_MS = 20;
 
-/** Reports come twice a second. */
+/** Reports arrive twice a second. */
 const REPORT_MS = 500;
 
-/** A worker's whole processors in use by the filling image take this much slack. */
+/** The slack that the best-effort image takes if it uses all of a worker's processors. */
 const INTERFERENCE_WEIGHT = 6;
 
 const SERVING = stepSpec({
@@ -28,7 +28,7 @@
 
 const LOUD = stepSpec({ fills: true, image: 'loud', cpuMilli: 800 });
 
-/** Two workers with a task each of a serving step, whose tails are as the test says. */
+/** Returns two workers with one task each of a serving step, whose tail latencies the test sets. */
 function twoServing(): { harness: SchedulerHarness; webs: Order[] } {
   const harness = new SchedulerHarness([workerEntry('w1'), workerEntry('w2')]);
   harness.submit(jobSpec([SERVING], { id: '00000000000000a1' }));
@@ -37,7 +37,7 @@
   return { harness, webs };
 }
 
-/** What the filling image does to the serving one is known. */
+/** Teaches the model the interference of the best-effort image with the serving one. */
 function learnInterference(harness: SchedulerHarness): void {
   for (let i = 0; i < 200; i += 1) {
     const part = i % 2 ? 0.1 : 0;
@@ -46,7 +46,7 @@
   }
 }
 
-/** One report of each worker in which its serving task has this slack. */
+/** Sends one report of each worker, in which its serving task has this slack. */
 function reportSlack(harness: SchedulerHarness, webs: readonly Order[], slack: number): void {
   harness.nowMs += REPORT_MS;
   for (const web of webs) {
@@ -63,17 +63,18 @@
   return harness.starts().some(({ task }) => task.jobId.endsWith('a2'));
 }
 
-test('an image that disturbs every serving task still runs, beside those with little to do', () => {
-  // Every worker serves, and the filling image lengthens every tail. Kept away from all of them
-  // for good, its jobs would never end. Beside tasks that are far from their targets just now a
-  // few of its tasks do no harm; beside tasks near their targets they would.
+test('an image that interferes with every serving task still runs beside those with a low load', () => {
+  // Every worker serves, and the best-effort image interferes with every serving task. If it were
+  // kept away from all of them, its jobs would never end. Beside tasks that are far from their
+  // targets at the moment a few of its tasks do no harm; beside tasks near their targets they
+  // would.
   assert.equal(startsLoud(2.5), true);
   assert.equal(startsLoud(1.3), false);
 });
 
-test('a tail that is about to grow is no place for a disturbing image', () => {
-  // The slack is still large enough, but falls report by report: the serving task's callers are
-  // on their way up. When the filling task has come to work, the tail would be over its target.
+test('an interfering task is not started if the tail latency is about to rise', () => {
+  // The slack is still large enough, but falls with each report because the load of the serving
+  // task rises. Once the best-effort task runs, the tail latency would be over its target.
   const { harness, webs } = twoServing();
   learnInterference(harness);
   for (const slack of [3, 2.8, 2.6, 2.4, 2.2, 2]) reportSlack(harness, webs, slack);
@@ -81,10 +82,11 @@
   assert.deepEqual(harness.starts(), []);
 });
 
-test("the swing of a step's own load is not blamed on what happens to work beside it", () => {
-  // The callers of both serving tasks come and go together. A harmless filling image works beside
-  // one of them, and happens to work hardest while there is most to serve. Its weight must come
-  // out near nothing: else it is halted at the next swing, and its jobs end late for no reason.
+test("an oscillation of a step's own load is not attributed to best-effort tasks beside it", () => {
+  // The loads of both serving tasks rise and fall together. A harmless best-effort image runs
+  // beside one of them, and happens to use most of the processors at peak load. Its learned weight
+  // must be close to zero; otherwise it would be halted at the next peak and its jobs would end
+  // late without need.
   const { harness, webs } = twoServing();
   harness.submit(jobSpec([stepSpec({ fills: true, image: 'quiet' })], { id: '00000000000000a2' }));
   const [quiet] = harness.starts();
@@ -104,9 +106,10 @@
   assert.ok(harness.model.interference.weight('web', 'quiet') < 1.5);
 });
 
-test('a later scheduling node starts from what the one before has learned', () => {
-  // The scheduling node dies. The next one knows nothing of the images: it would put the loud one
-  // beside serving tasks with little slack, whose users wait until it has learned once more.
+test('a new leader starts from the interference that the one before has learned', () => {
+  // A new leader without what the failed one has learned would place the loud image beside serving
+  // tasks with little slack, whose users would have to wait until the interference is learned
+  // again.
   const before = twoServing();
   learnInterference(before.harness);
   const { harness, webs } = twoServing();
--- a/packages/jobs/src/test/unloaded-jobs_test.ts
+++ b/packages/jobs/src/test/unloaded-jobs_test.ts
@@ -10,14 +10,15 @@
   workerEntry,
 } from './scheduler-harness.js';
 
-// A node takes over while callers' jobs cannot be read, and knows some of the jobs that were begun.
-// What workers list of the others is of jobs that run in good order: stopped, their work would be lost.
+// A node takes over while jobs cannot be read, and knows only some of the jobs that were started.
+// The runs of other jobs that workers list are valid: if they were stopped, their work would be
+// lost.
 
 const OTHER_ID = '00000000000000bb';
 
 const OTHER = jobSpec([stepSpec({ cpuMilli: 5_000 })], { id: OTHER_ID });
 
-/** A job that another node has started on a worker, and the start. */
+/** Returns a job that another node has started on a worker, and the start. */
 function startedElsewhere(worker: string): { readonly job: JobProgress; readonly start: Order } {
   const before = new SchedulerHarness([workerEntry(worker)]);
   const job = before.submit(OTHER);
@@ -26,7 +27,7 @@
   return { job: JobProgress.decode(OTHER, job.encode()), start };
 }
 
-test('what runs of a job that is not told yet goes on, and counts once it is told', () => {
+test('a run of a job that is not loaded yet continues, and is the current one once it is loaded', () => {
   const { job, start } = startedElsewhere('w1');
   const harness = new SchedulerHarness([workerEntry('w1')]);
   harness.scheduler.setFullyLoaded(false);
@@ -38,7 +39,7 @@
   assert.deepEqual(harness.decide().orders, []);
 });
 
-test('what no job asks for is stopped once all jobs are told', () => {
+test('a run that no job needs is stopped once all jobs are loaded', () => {
   const { start } = startedElsewhere('w1');
   const harness = new SchedulerHarness([workerEntry('w1')]);
   harness.scheduler.setFullyLoaded(false);
@@ -47,9 +48,9 @@
   assert.equal(harness.stops().length, 1);
 });
 
-test('an end of a job that is not told yet is not acknowledged before it is told', () => {
-  // Acknowledged, the end would be gone from the worker's list; the job, told later, would have the
-  // task on that worker still, and it would run a second time.
+test('an end of a job is not acknowledged before the job is loaded', () => {
+  // If the end were acknowledged, it would be removed from the worker's list. When the job is
+  // loaded, its task would still be bound to that worker, and would run a second time.
   const { job, start } = startedElsewhere('w1');
   const harness = new SchedulerHarness([workerEntry('w1')]);
   const report = { ended: [harness.end(start, 'done')] };
@@ -63,7 +64,7 @@
   assert.equal(job.state, 'completed');
 });
 
-test('a known task is not taken to be absent while its end stands behind one that is not told', () => {
+test('a known task is not released while its end is listed after one of a job not loaded yet', () => {
   const { start } = startedElsewhere('w1');
   const harness = new SchedulerHarness([workerEntry('w1')]);
   const job = harness.submit(jobSpec([stepSpec()]));
@@ -81,8 +82,8 @@
   assert.equal(job.state, 'completed');
 });
 
-test('nothing starts beside what is not told yet, and elsewhere it does', () => {
-  // How much room that takes is known only with the job.
+test('no task starts on a worker with runs of jobs not loaded yet, but on others they do', () => {
+  // The capacity that the run uses is known only once its job is loaded.
   const { start } = startedElsewhere('w1');
   const harness = new SchedulerHarness([workerEntry('w1')]);
   harness.scheduler.setFullyLoaded(false);
@@ -94,9 +95,10 @@
   assert.equal(harness.starts()[0]?.worker, 'w2');
 });
 
-test('a job that is told later has the leases on silent workers that the earlier node named', () => {
-  // The earlier node had told that leases on a worker that it could not reach last longer than those
-  // of all others. Taken to be over with the others, the task would start a second time.
+test('inherited leases on silent workers also apply to a job that is loaded later', () => {
+  // The earlier leader has stored that its leases on a worker that it could not reach last longer
+  // than those on all others. If they were assumed to expire with the others, the task would be
+  // started a second time.
   const { job } = startedElsewhere('w1');
   const harness = new SchedulerHarness([workerEntry('w2')]);
   const endMs = harness.nowMs + 30_000;
--- a/packages/jobs/src/test/urgency_test.ts
+++ b/packages/jobs/src/test/urgency_test.ts
@@ -3,15 +3,15 @@
 import { criticalPathsMs } from '../internal/urgency.js';
 import { SchedulerHarness, jobSpec, stepSpec, workerEntry } from './scheduler-harness.js';
 
-test('the chain of a step runs through the steps that wait for it', () => {
+test('the critical path of a step includes the steps that depend on it', () => {
   const [a, b, c] = [100, 200, 400].map((estimateMs) => stepSpec({ estimateMs }));
   const steps = [a!, { ...b!, after: [0] }, { ...c!, after: [0] }];
   assert.deepEqual(criticalPathsMs(jobSpec(steps)), [500, 200, 400]);
 });
 
-test('with room for one, a job that can still be in time goes before one that cannot', () => {
-  // A burst has filled the only worker. When room comes free, the oldest waiting job is late for
-  // certain and the next one is not yet: in the order of their arrival both would be late.
+test('with capacity for one, a job that can still end in time goes before one that cannot', () => {
+  // A burst has filled the only worker. When capacity becomes free, the oldest waiting job is
+  // certain to end late and the next one is not yet: in the order of arrival both would end late.
   const harness = new SchedulerHarness([
     workerEntry('w1', { capacity: { cpuMilli: 1_000, memMb: 16_000, gpus: 0 } }),
   ]);
@@ -26,10 +26,11 @@
   );
 });
 
-test('with room for one, a short job goes before a lasting task that was never at work', () => {
-  // A lasting task takes the room for minutes. Started first because it asked first, it makes the
-  // short jobs that come after it late one after the other; started a second later it loses that
-  // second. One that was at work before goes first of all: its users are without it now.
+test('with capacity for one, a short job goes before a long-running task that has never run', () => {
+  // A long-running task takes the capacity for minutes. If it were started first because it was
+  // submitted first, the short jobs after it would end late one after the other; started a second
+  // later it loses only that second. A task that was running before goes first of all, because its
+  // users are without it now.
   const small = { capacity: { cpuMilli: 1_000, memMb: 16_000, gpus: 0 } };
   const harness = new SchedulerHarness([workerEntry('w1', small)]);
   const lasting = stepSpec({ lasting: true, taskCount: 2 });
--- a/packages/jobs/src/test/wait-and-stop-logs_test.ts
+++ b/packages/jobs/src/test/wait-and-stop-logs_test.ts
@@ -11,7 +11,7 @@
 
 const SMALL = { capacity: { cpuMilli: 1_000, memMb: 16_000, gpus: 0 } };
 
-test('a binding tells how long the step had tasks to start, and what kept them', () => {
+test('the log of a binding has the time for which the step had tasks to start, and why they waited', () => {
   const harness = new SchedulerHarness([workerEntry('w1', SMALL)]);
   harness.submit(jobSpec([stepSpec({ taskCount: 2 })]));
   const [first] = harness.starts();
@@ -25,7 +25,7 @@
   ]);
 });
 
-test('a stop tells its reason, and the work that no checkpoint holds', () => {
+test('the log of a stop has its reason and the work that is not covered by a checkpoint', () => {
   const harness = new SchedulerHarness([workerEntry('w1')]);
   harness.submit(jobSpec([stepSpec({ cpuMilli: 2_000 })]));
   const [start] = harness.starts();
@@ -45,7 +45,7 @@
   ]);
 });
 
-test('the end of a job tells how long it took, and how long it may have taken', () => {
+test('the log of a job end has the time that the job took and its objective', () => {
   const harness = new SchedulerHarness([workerEntry('w1')]);
   harness.submit(jobSpec([stepSpec({ estimateMs: 1_000 })], { acceptedMs: 500 }));
   const [start] = harness.starts();
