--- a/packages/decisions/src/placement.ts
+++ b/packages/decisions/src/placement.ts
@@ -47,7 +47,7 @@
       visited += 1;
       if (visited > MAX_VISITED) break;
       if (this.accepts(need, host)) {
-        if (!best || view.room(host).cpu < view.room(best).cpu) best = host;
+        if (!best || view.freeOn(host).cpu < view.freeOn(best).cpu) best = host;
         compared += 1;
         if (compared === MAX_COMPARED) break;
       } else {
@@ -75,7 +75,7 @@
     let refused: HostState | undefined;
     for (const rack of racks) {
       const fitting = (view.racks.get(rack) ?? []).filter((host) =>
-        fits(need.resources, view.room(host)),
+        fits(need.resources, view.freeOn(host)),
       );
       const accepted = fitting.filter((host) => this.accepts(need, host));
       refused ??= fitting[0];
@@ -87,7 +87,7 @@
 
     function isBetter(a: HostState, b: HostState): boolean {
       const difference = peers.onHost(a.hostId) - peers.onHost(b.hostId);
-      return difference < 0 || (difference === 0 && view.room(a).cpu > view.room(b).cpu);
+      return difference < 0 || (difference === 0 && view.freeOn(a).cpu > view.freeOn(b).cpu);
     }
   }
 }
--- a/packages/decisions/src/policy/evictions.ts
+++ b/packages/decisions/src/policy/evictions.ts
@@ -84,8 +84,11 @@
 
   #fitsIn(need: PlacementNeed, host: HostState, freed: Resources): boolean {
     const pendingRelease = this.#pendingRelease.get(host.hostId) ?? NO_RESOURCES;
-    const room = addResources(this.#ctx.view.room(host), addResources(pendingRelease, freed));
-    return fits(need.resources, room);
+    const available = addResources(
+      this.#ctx.view.freeOn(host),
+      addResources(pendingRelease, freed),
+    );
+    return fits(need.resources, available);
   }
 
   *#cheapestPlan(need: PlacementNeed, tier: Tier): Generator<PlanStep, EvictionPlan | undefined> {
--- a/packages/decisions/src/policy/explain.ts
+++ b/packages/decisions/src/policy/explain.ts
@@ -174,13 +174,13 @@
   const { hosts } = ctx.view;
   const allowed = hosts.filter((host) => allowsRack({ racks }, host));
   const large = allowed.filter((host) => fits(spec.resources, host.capacity));
-  const room = large.filter((host) => fits(spec.resources, ctx.view.room(host)));
+  const withCapacity = large.filter((host) => fits(spec.resources, ctx.view.freeOn(host)));
   yield {
     code: 'hosts',
     live: hosts.length,
     allowed: allowed.length,
     large: large.length,
-    room: room.length,
+    room: withCapacity.length,
     quarantined: ctx.input.memory?.health.quarantined.size ?? 0,
   };
   const { team } = spec;
--- a/packages/decisions/src/policy/pass-context.ts
+++ b/packages/decisions/src/policy/pass-context.ts
@@ -12,31 +12,34 @@
 import { TeamUsage } from './team-usage.js';
 
 /**
- * A pass that has decided so much starts nothing more. The log takes a batch of 20,000 actions at
- * most: a larger record would be refused by every reader, pass after pass.
+ * A pass that has decided this many actions binds no more tasks. A batch in the log holds at most
+ * 20,000 actions: every reader would refuse a larger record, in pass after pass.
  */
 export const MAX_ACTIONS = 5_000;
 
-/** A pass revokes no more than this: a burst of cancellations fits, and so does its record. */
+/**
+ * A pass that has decided this many actions revokes no more tasks. A burst of cancellations fits,
+ * and its record stays below the limit of a batch.
+ */
 export const MAX_REVOCATIONS = 12_000;
 
 /** An attempt that is about to be bound. */
 export type AttemptRef = Pick<BindAction, 'taskId' | 'attempt' | 'checkpoint'>;
 
-/** What one pass has looked up and decided so far. */
+/** The state of one pass: indexed input and the decisions made up to now. */
 export class PassContext {
   readonly input: PlanInput;
 
   readonly manifest: ManifestIndex;
 
-  /** The hosts with what this pass itself says about them. */
+  /** The hosts, including the changes that this pass itself decides. */
   readonly hosts: ReadonlyMap<string, HostState>;
 
   readonly view = new PlacementView();
 
   readonly pacer = new Pacer();
 
-  /** What teams use; complete once the pass is prepared. */
+  /** The resource usage of the teams; complete after `prepare`. */
   readonly usage: TeamUsage;
 
   readonly evictions: Evictions;
@@ -53,7 +56,7 @@
     this.evictions = new Evictions(this);
   }
 
-  /** Looks up what the rest of the pass asks for often. */
+  /** Builds the placement view and the team usage for the rest of the pass. */
   *prepare(): Generator<PlanStep> {
     const { unreachable } = this.input;
     const health = this.input.memory?.health;
@@ -61,8 +64,8 @@
     for (const host of this.hosts.values()) {
       if (this.pacer.due()) yield PAUSE;
       if (host.state === 'live') {
-        const closed = unreachable?.has(host.hostId) || health?.quarantined.has(host.hostId);
-        if (closed) this.view.addClosed(host);
+        const isUnavailable = unreachable?.has(host.hostId) || health?.quarantined.has(host.hostId);
+        if (isUnavailable) this.view.addClosed(host);
         else this.view.add(host);
       }
     }
@@ -78,32 +81,33 @@
     return this.input.fold;
   }
 
-  /** Bindings and revocations decided so far. */
+  /** The number of bindings and revocations decided up to now. */
   get actions(): number {
     return this.#actions;
   }
 
-  /** Whether a task's latest attempt goes on after this pass, as far as it is decided. */
+  /** Returns whether a task's latest attempt is neither revoked nor ended, as decided up to now. */
   staysActive({ taskId, state }: TaskState): boolean {
     return (state === 'bound' || state === 'running') && !this.#revoked.has(taskId);
   }
 
-  /** Lets one task of a job onto each quarantined host whose probe is due. */
+  /** Opens each quarantined host whose probe is due, for one task of a job. */
   openProbes(): void {
     const { memory, nowMs = 0 } = this.input;
     for (const hostId of memory?.health.quarantined.keys() ?? []) {
       const host = this.hosts.get(hostId);
-      const open = host?.state === 'live' && !this.input.unreachable?.has(hostId);
-      if (open && memory?.health.isProbeDue(hostId, nowMs)) this.view.open(host);
+      const isAvailable = host?.state === 'live' && !this.input.unreachable?.has(hostId);
+      if (isAvailable && memory?.health.isProbeDue(hostId, nowMs)) this.view.open(host);
     }
   }
 
-  /** Why a task may not be placed, whatever is free; undefined where it may. */
+  /** Returns why a task cannot be placed regardless of free capacity; undefined if it can. */
   refusal(need: PlacementNeed, team: string): WaitReason | undefined {
     if (this.view.hosts.length === 0) return 'no-hosts';
     if (!this.view.canEverFit(need)) {
-      const known = need.racks.length === 0 || need.racks.some((rack) => this.view.racks.has(rack));
-      return known ? 'never-fits' : 'no-such-rack';
+      const rackExists =
+        need.racks.length === 0 || need.racks.some((rack) => this.view.racks.has(rack));
+      return rackExists ? 'never-fits' : 'no-such-rack';
     }
     if (!this.usage.couldEverAllow(team, need.resources)) return 'exceeds-quota';
     return this.usage.allows(team, need.resources) ? undefined : 'quota';
@@ -111,11 +115,11 @@
 
   bind(need: PlacementNeed, host: HostState, ref: AttemptRef, team: string): PlanStep {
     const { owner, kind, resources } = need;
-    const named = kind === 'service' ? this.manifest.services : this.manifest.jobs;
-    const onOutage = named.get(owner)?.onOutage;
+    const specs = kind === 'service' ? this.manifest.services : this.manifest.jobs;
+    const onOutage = specs.get(owner)?.onOutage;
     this.view.commit(host, resources);
     this.usage.add(team, resources);
-    this.#noteProbe(host, ref);
+    this.#startProbeIfDue(host, ref);
     this.#actions += 1;
     return actionStep({
       type: 'bind',
@@ -128,14 +132,14 @@
     });
   }
 
-  #noteProbe(host: HostState, { taskId, attempt }: AttemptRef): void {
+  #startProbeIfDue(host: HostState, { taskId, attempt }: AttemptRef): void {
     const { memory, nowMs = 0 } = this.input;
     if (!memory?.health.isProbeDue(host.hostId, nowMs)) return;
     memory.health.startProbe(host.hostId, taskId, attempt, nowMs);
     this.view.close(host);
   }
 
-  /** Revokes a task that goes on. A second revocation would be voided by the fold. */
+  /** Revokes an active task. The fold would void a second revocation. */
   revoke({ taskId, attempt }: TaskState, reason: string): PlanStep {
     this.#revoked.add(taskId);
     this.#actions += 1;
--- a/packages/decisions/src/policy/pending-job.ts
+++ b/packages/decisions/src/policy/pending-job.ts
@@ -4,27 +4,27 @@
 import type { AttemptRef } from './pass-context.js';
 import type { Unplaced, WaitReason } from './plan-step.js';
 
-/** A job that has tasks without an attempt. Its tasks are alike, so it stands for all of them. */
+/** A job with waiting tasks. They have the same requirements, so only the next one is examined. */
 export class PendingJob {
   readonly job: Job;
 
-  /** How many of its tasks wait; those that are out of attempts are not among them. */
+  /** The number of waiting tasks, without those that have used up their attempts. */
   readonly count: number;
 
-  /** Tasks that are never started again, because too many attempts failed. */
+  /** The ids of tasks that are never started again because too many attempts failed. */
   readonly exhausted: readonly string[];
 
-  #blocked: string | undefined;
+  #blockedTaskId: string | undefined;
 
   readonly #dataCentre: string;
 
   readonly #fold: ControlFold;
 
-  readonly #refs: Generator<AttemptRef>;
+  readonly #attemptRefs: Generator<AttemptRef>;
 
   #next: AttemptRef | undefined;
 
-  #taken = 0;
+  #takenCount = 0;
 
   constructor(fold: ControlFold, dataCentre: string, job: Job) {
     this.job = job;
@@ -39,37 +39,37 @@
     }
     this.exhausted = exhausted;
     this.count = ended + (owned?.gaps.size ?? 0) + Math.max(0, job.tasks - (owned?.next ?? 0));
-    this.#refs = this.#attempts();
+    this.#attemptRefs = this.#attempts();
     this.#advance();
   }
 
-  /** A task whose identity belongs to a replica of a service that once had this name. */
+  /** The id of a task that is already used by a replica of a service that once had this name. */
   get blockedTaskId(): string | undefined {
-    return this.#blocked;
+    return this.#blockedTaskId;
   }
 
-  /** The next attempt to bind, or undefined after the last. */
+  /** The next attempt to bind, or undefined after the last one. */
   get nextAttempt(): AttemptRef | undefined {
     return this.#next;
   }
 
   advance(): void {
-    this.#taken += 1;
+    this.#takenCount += 1;
     this.#advance();
   }
 
-  /** What still waits. */
+  /** Describes the tasks that still wait. */
   unplaced(reason: WaitReason): Unplaced {
     const taskId = this.#next?.taskId ?? this.#idOf(0);
-    return { taskId, owner: this.job.name, count: this.count - this.#taken, reason };
+    return { taskId, owner: this.job.name, count: this.count - this.#takenCount, reason };
   }
 
   #advance(): void {
-    const result = this.#refs.next();
+    const result = this.#attemptRefs.next();
     this.#next = result.done ? undefined : result.value;
   }
 
-  /** Work that was evicted or failed comes first: it has a place in line already. */
+  /** Yields the attempts to bind. Evicted and failed tasks come first: they were placed before. */
   *#attempts(): Generator<AttemptRef> {
     const owned = this.#fold.index.of('job', this.job.name);
     for (const taskId of owned?.ended ?? []) {
@@ -78,15 +78,15 @@
         yield { taskId, attempt: task.attempt + 1, checkpoint: task.checkpoint };
       }
     }
-    for (const index of owned?.gaps ?? []) yield* this.#first(index);
-    for (let i = owned?.next ?? 0; i < this.job.tasks; i += 1) yield* this.#first(i);
+    for (const index of owned?.gaps ?? []) yield* this.#firstAttempt(index);
+    for (let i = owned?.next ?? 0; i < this.job.tasks; i += 1) yield* this.#firstAttempt(i);
   }
 
-  *#first(index: number): Generator<AttemptRef> {
+  *#firstAttempt(index: number): Generator<AttemptRef> {
     const taskId = this.#idOf(index);
-    // A replica of a service that once had this name may own the identity; it is never reused.
+    // The id may belong to a replica of a service that once had this name. Ids are never reused.
     if (index >= this.job.tasks) return;
-    if (this.#fold.tasks.has(taskId)) this.#blocked = taskId;
+    if (this.#fold.tasks.has(taskId)) this.#blockedTaskId = taskId;
     else yield { taskId, attempt: 1 };
   }
 
@@ -95,7 +95,7 @@
   }
 }
 
-/** The job, where it has anything that waits or was given up. */
+/** Returns the pending job, or undefined if no task of the job waits or is exhausted. */
 export function pendingJob(
   fold: ControlFold,
   dataCentre: string,
--- a/packages/decisions/src/policy/plan-hosts.ts
+++ b/packages/decisions/src/policy/plan-hosts.ts
@@ -6,10 +6,10 @@
 import { PAUSE, Pacer, actionStep } from './plan-step.js';
 
 /**
- * Takes over what the platform's list says of hosts.
+ * Yields the actions that record changes of the platform's host list.
  *
  * @returns The hosts as they are once these actions are folded: the rest of the pass must not
- *   bind to a host that the same record declares as leaving.
+ *   bind a task to a host that the same record declares as leaving.
  */
 export function* planHosts(input: PlanInput): Generator<PlanStep, ReadonlyMap<string, HostState>> {
   const { dataCentre, fold, listed } = input;
@@ -20,7 +20,7 @@
     if (pacer.due()) yield PAUSE;
     if (host.dataCentre === dataCentre && !hosts.has(host.hostId)) {
       const known = fold.hosts.get(host.hostId);
-      const next = known && !differs(host, known) ? known : merged(host, known);
+      const next = known && !differs(host, known) ? known : mergeListed(host, known);
       hosts.set(host.hostId, next);
       if (next !== known) yield hostAction(next);
     }
@@ -28,9 +28,9 @@
   for (const host of fold.hosts.values()) {
     if (pacer.due()) yield PAUSE;
     if (!hosts.has(host.hostId)) {
-      const gone: HostState = { ...host, state: 'gone' };
-      hosts.set(host.hostId, gone);
-      if (host.state !== 'gone') yield hostAction(gone);
+      const removed: HostState = { ...host, state: 'gone' };
+      hosts.set(host.hostId, removed);
+      if (host.state !== 'gone') yield hostAction(removed);
     }
   }
   return hosts;
@@ -40,7 +40,7 @@
   return actionStep({ type: 'host', hostId, rack, address, capacity, state });
 }
 
-function merged({ dataCentre: _dc, ...host }: ListedHost, known?: HostState): HostState {
+function mergeListed({ dataCentre: _dc, ...host }: ListedHost, known?: HostState): HostState {
   return { committed: NO_RESOURCES, tasks: new Set(), incarnationOffset: -1, ...known, ...host };
 }
 
--- a/packages/decisions/src/policy/plan-jobs.ts
+++ b/packages/decisions/src/policy/plan-jobs.ts
@@ -7,19 +7,19 @@
 import type { PlanStep, WaitReason } from './plan-step.js';
 import { PAUSE } from './plan-step.js';
 
-/** Places the tasks of jobs, class by class. */
+/** Places the tasks of jobs, one priority class after another. */
 export function* planJobs(ctx: PassContext): Generator<PlanStep> {
   ctx.openProbes();
-  const lines = yield* lineUp(ctx);
-  for (const jobClass of [...lines.keys()].sort((a, b) => a - b)) {
-    const line = lines.get(jobClass);
-    if (line) yield* serve(ctx, line);
+  const queues = yield* buildQueues(ctx);
+  for (const jobClass of [...queues.keys()].sort((a, b) => a - b)) {
+    const queue = queues.get(jobClass);
+    if (queue) yield* placeQueued(ctx, queue);
   }
 }
 
-function* lineUp(ctx: PassContext): Generator<PlanStep, Map<number, AdmissionQueue>> {
+function* buildQueues(ctx: PassContext): Generator<PlanStep, Map<number, AdmissionQueue>> {
   const { manifest, dataCentre, fold, memory, nowMs = 0 } = ctx.input;
-  const lines = new Map<number, AdmissionQueue>();
+  const queues = new Map<number, AdmissionQueue>();
   memory?.retain(ctx.manifest.jobs);
   for (const job of manifest.jobs) {
     if (ctx.pacer.due()) yield PAUSE;
@@ -27,14 +27,14 @@
     if (pending) yield* reportExhausted(pending);
     if (pending?.nextAttempt) {
       const jobClass = priorityClassOf(job, nowMs, memory?.waitedMs(job.name, nowMs) ?? 0);
-      const line = lines.get(jobClass) ?? new AdmissionQueue(jobClass, ctx.usage, nowMs);
-      lines.set(jobClass, line);
-      line.add(pending);
+      const queue = queues.get(jobClass) ?? new AdmissionQueue(jobClass, ctx.usage, nowMs);
+      queues.set(jobClass, queue);
+      queue.add(pending);
     } else {
       memory?.endWait(job.name);
     }
   }
-  return lines;
+  return queues;
 }
 
 function* reportExhausted({ exhausted, job, blockedTaskId }: PendingJob): Generator<PlanStep> {
@@ -50,21 +50,21 @@
   }
 }
 
-function* serve(ctx: PassContext, line: AdmissionQueue): Generator<PlanStep> {
-  for (let team = line.nextTeam(); team !== undefined; team = line.nextTeam()) {
+function* placeQueued(ctx: PassContext, queue: AdmissionQueue): Generator<PlanStep> {
+  for (let team = queue.nextTeam(); team !== undefined; team = queue.nextTeam()) {
     let placed = false;
-    for (let head = line.head(team); head && !placed; head = line.head(team)) {
-      // Within one turn the team's jobs that cannot be placed are passed over.
+    for (let head = queue.head(team); head && !placed; head = queue.head(team)) {
+      // Until one task of the team is placed, its jobs that cannot be placed are skipped.
       if (ctx.pacer.due()) yield PAUSE;
-      placed = yield* placeOne(ctx, head);
-      if (!placed || !head.nextAttempt) line.drop(team);
+      placed = yield* placeNext(ctx, head);
+      if (!placed || !head.nextAttempt) queue.drop(team);
     }
     if (ctx.actions >= MAX_ACTIONS) return;
   }
 }
 
-/** @returns Whether the job's first waiting task got a place, now or once room is freed. */
-function* placeOne(ctx: PassContext, pending: PendingJob): Generator<PlanStep, boolean> {
+/** @returns Whether the job's next task was placed, or has capacity reserved by evictions. */
+function* placeNext(ctx: PassContext, pending: PendingJob): Generator<PlanStep, boolean> {
   const { job, nextAttempt } = pending;
   const { name, resources, racks, tier, urgent, team } = job;
   const need: PlacementNeed = { owner: name, kind: 'job', resources, racks, urgent };
@@ -82,12 +82,13 @@
   }
   const evicted = urgent && (yield* ctx.evictions.freeCapacityFor(need, tier));
   if (!evicted) {
-    // Where no host has room the view knows that; else the policy refused those that have.
+    // If no host had enough capacity, the view has recorded it. Otherwise the policy refused all.
     const reason: WaitReason = ctx.view.isKnownUnplaceable(need) ? 'no-room' : 'kept-apart';
     yield { type: 'unplaced', unplaced: pending.unplaced(reason) };
     return false;
   }
-  // The kept room counts against the quota, or two urgent tasks would rely on the same rest.
+  // The reserved capacity counts against the quota. Otherwise two urgent tasks could use the same
+  // remainder of it.
   ctx.usage.add(team, resources);
   pending.advance();
   const { taskId } = nextAttempt;
--- a/packages/decisions/src/policy/plan-moves.ts
+++ b/packages/decisions/src/policy/plan-moves.ts
@@ -1,7 +1,7 @@
 import type { PassContext } from './pass-context.js';
 import type { PlanStep } from './plan-step.js';
 
-/** Revokes batch tasks that disturb a service though they are throttled; they resume elsewhere. */
+/** Revokes throttled batch tasks that still interfere with a service; they resume elsewhere. */
 export function* planMoves(ctx: PassContext): Generator<PlanStep> {
   const { fold, memory, nowMs = 0 } = ctx.input;
   for (const { taskId, reason } of memory?.colocation.review(fold, nowMs) ?? []) {
--- a/packages/decisions/src/policy/plan-revocations.ts
+++ b/packages/decisions/src/policy/plan-revocations.ts
@@ -5,8 +5,8 @@
 import type { OwnerTasks } from './task-index.js';
 
 /**
- * Revokes what the manifest no longer wants and what stands on a host that is not live. It looks
- * at owners, not at tasks, so thousands of cancellations cost one pass.
+ * Revokes the tasks of owners that are no longer in the manifest, and all tasks on hosts that are
+ * not live. It checks owners instead of tasks, so one pass handles thousands of cancellations.
  */
 export function* planRevocations(ctx: PassContext): Generator<PlanStep> {
   for (const owner of ctx.fold.index.liveOwners) {
--- a/packages/decisions/src/policy/plan-services.ts
+++ b/packages/decisions/src/policy/plan-services.ts
@@ -8,7 +8,7 @@
 import type { PlanStep, WaitReason } from './plan-step.js';
 import { PAUSE } from './plan-step.js';
 
-/** Brings each service to the number of replicas that the manifest wants. */
+/** Brings each service to the number of replicas that the manifest specifies. */
 export function* planServices(ctx: PassContext): Generator<PlanStep> {
   for (const service of ctx.input.manifest.services) {
     if (ctx.pacer.due(1 + (service.replicas[ctx.input.dataCentre] ?? 0))) yield PAUSE;
@@ -21,11 +21,11 @@
   const owned = ctx.fold.index.of('service', service.name);
   const live = liveReplicas(ctx, service.name);
   if (live.length > wanted) {
-    for (const task of mostCrowded(ctx, live, live.length - wanted)) {
+    for (const task of mostColocated(ctx, live, live.length - wanted)) {
       yield ctx.revoke(task, `${wanted} replicas are wanted`);
     }
   } else if (live.length < wanted) {
-    // Attempts of a job of the same name, long gone, may have used the first indices.
+    // A former job of the same name may have used the first indices.
     const first = Math.max(owned?.next ?? 0, ctx.fold.nextIndexOf(service.name));
     yield* addReplicas(ctx, service, first, { live, missing: wanted - live.length });
   }
@@ -49,17 +49,17 @@
   return counts;
 }
 
-/** The replicas that share their rack with the most others: to lose them costs the least. */
-function mostCrowded(ctx: PassContext, live: readonly TaskState[], surplus: number): TaskState[] {
+/** Returns the replicas that share their rack with the most others, whose loss costs the least. */
+function mostColocated(ctx: PassContext, live: readonly TaskState[], surplus: number): TaskState[] {
   const counts = countsOf(ctx, live);
-  const crowd = ({ hostId }: TaskState): number =>
+  const colocation = ({ hostId }: TaskState): number =>
     counts.onRack(ctx.hosts.get(hostId)?.rack ?? '') * live.length + counts.onHost(hostId);
-  const left = new Set(live);
+  const remaining = new Set(live);
   const chosen: TaskState[] = [];
   while (chosen.length < surplus) {
-    const task = [...left].reduce((a, b) => (crowd(b) >= crowd(a) ? b : a));
+    const task = [...remaining].reduce((a, b) => (colocation(b) >= colocation(a) ? b : a));
     const host = ctx.hosts.get(task.hostId);
-    left.delete(task);
+    remaining.delete(task);
     chosen.push(task);
     if (host) counts.add(host, -1);
   }
--- a/packages/decisions/src/policy/plan-step.ts
+++ b/packages/decisions/src/policy/plan-step.ts
@@ -1,41 +1,41 @@
 import type { ControlAction } from '@redwingcrank/protocol';
 
-/** Why tasks wait. */
+/** The reasons why tasks wait. */
 export const WAIT_REASONS = [
-  /** There is no host in the data centre, as far as is known. */
+  /** No host of the data centre is known. */
   'no-hosts',
-  /** None of the racks that it may run on exists. */
+  /** None of the racks on which the task may run exists. */
   'no-such-rack',
-  /** No host that it may run on is large enough, even when empty. */
+  /** No host on which the task may run is large enough, even when empty. */
   'never-fits',
   /** The team's quota is smaller than the task. */
   'exceeds-quota',
-  /** Its identity was a replica's of a service that had this name. */
+  /** The task id was used by a replica of a service that had this name. */
   'name-reused',
-  /** Too many of its attempts failed. */
+  /** Too many attempts of the task failed. */
   'attempts-exhausted',
-  /** The team's tasks use the quota up. */
+  /** The team's tasks have used up its quota. */
   'quota',
-  /** Every host that is large enough is full. */
+  /** Every host that is large enough lacks free capacity. */
   'no-room',
-  /** Hosts have room, but a service there would suffer from it. */
+  /** Hosts have free capacity, but the task would interfere with a service there. */
   'kept-apart',
-  /** Room is being freed for it by evictions. */
+  /** Evictions are freeing capacity for the task. */
   'eviction-pending',
 ] as const;
 
 export type WaitReason = (typeof WAIT_REASONS)[number];
 
-/** Tasks of one owner that wait for one reason. */
+/** Tasks of one owner that wait for the same reason. */
 export interface Unplaced {
-  /** The first of them. */
+  /** The id of the first waiting task. */
   readonly taskId: string;
   readonly owner: string;
   readonly count: number;
   readonly reason: WaitReason;
 }
 
-/** A `pause` carries nothing: it is a point where the driver may let other work run. */
+/** A step of a pass. At a `pause`, the driver may run other work. */
 export type PlanStep =
   | { readonly type: 'action'; readonly action: ControlAction }
   | { readonly type: 'unplaced'; readonly unplaced: Unplaced }
@@ -45,14 +45,14 @@
 
 export const actionStep = (action: ControlAction): PlanStep => ({ type: 'action', action });
 
-/** So many look-ups may go by without a pause: together about a millisecond. */
+/** Number of lookups between two pauses; together they take about a millisecond. */
 const LOOKUPS_PER_PAUSE = 500;
 
-/** Counts look-ups, so that a loop knows when it owes its driver a pause. */
+/** Counts the lookups of a pass to determine when a pause is due. */
 export class Pacer {
   #lookups = 0;
 
-  /** Whether a pause is due after so many more look-ups. */
+  /** Adds the given number of lookups and returns whether a pause is due. */
   due(lookups = 1): boolean {
     this.#lookups += lookups;
     if (this.#lookups < LOOKUPS_PER_PAUSE) return false;
--- a/packages/decisions/src/policy/replica-counts.ts
+++ b/packages/decisions/src/policy/replica-counts.ts
@@ -1,6 +1,6 @@
 import type { HostState } from '../control-fold.js';
 
-/** Where the replicas of one service stand, so that the next one stands apart from them. */
+/** Counts the replicas of one service by host and rack, so that the next replica can be spread. */
 export class ReplicaCounts {
   readonly #byHost = new Map<string, number>();
 
--- a/packages/decisions/src/policy/task-index.ts
+++ b/packages/decisions/src/policy/task-index.ts
@@ -5,20 +5,20 @@
 
 export type OwnerKind = TaskState['kind'];
 
-/** The tasks of one service or job, by what is to be done about them. */
+/** The tasks of one service or job, grouped by state. */
 export interface OwnerTasks {
   readonly kind: OwnerKind;
   readonly owner: string;
-  /** Tasks whose latest attempt has not ended. */
+  /** The ids of tasks whose latest attempt has not ended. */
   readonly live: ReadonlySet<string>;
-  /** Tasks whose latest attempt ended without completing. */
+  /** The ids of tasks whose latest attempt ended without completing. */
   readonly ended: ReadonlySet<string>;
   readonly completed: number;
-  /** Indices below `next` that no task has had. */
+  /** The indices below `next` that no task has had; only for jobs. */
   readonly gaps: ReadonlySet<number>;
   /** One more than the highest index of any task. */
   readonly next: number;
-  /** What the live tasks are bound with. */
+  /** The total resources of the live tasks. */
   readonly committed: Resources;
 }
 
@@ -28,42 +28,42 @@
   gaps: Set<number>;
 };
 
-/** No job has more tasks; an index beyond it comes from no scheduler of ours. */
+/** Upper bound of the tasks of a job; a larger index was not written by this scheduler. */
 const MAX_INDEX = 100_000;
 
 /**
- * What a pass needs to know of the tasks without looking at each of them: kept up to date with
- * every change, so that a pass costs what there is to do and not what there is.
+ * An index of the tasks for passes. It is updated with every change, so that the cost of a pass
+ * depends on the number of tasks to change instead of the number of all tasks.
  */
 export class TaskIndex {
   readonly #owners = new Map<string, MutableOwner>();
 
-  readonly #live = new Set<MutableOwner>();
+  readonly #liveOwners = new Set<MutableOwner>();
 
-  readonly #pending = new Map<string, Resources>();
+  readonly #pendingRelease = new Map<string, Resources>();
 
   readonly #revoked = new Set<string>();
 
-  /** The tasks whose latest attempt is revoked and has not ended. */
+  /** The ids of the tasks whose latest attempt is revoked and has not ended. */
   get revoked(): ReadonlySet<string> {
     return this.#revoked;
   }
 
   /** The owners that have live tasks. */
   get liveOwners(): Iterable<OwnerTasks> {
-    return this.#live;
+    return this.#liveOwners;
   }
 
-  /** Hosts where revoked attempts have not ended yet, with the resources these still hold. */
+  /** The resources still held by revoked attempts that have not ended, by host id. */
   get pendingRelease(): ReadonlyMap<string, Resources> {
-    return this.#pending;
+    return this.#pendingRelease;
   }
 
   of(kind: OwnerKind, owner: string): OwnerTasks | undefined {
     return this.#owners.get(`${kind} ${owner}`);
   }
 
-  /** Takes note that a task changed, came or went. */
+  /** Updates the index after a task was changed, added or removed. */
   replace(before: TaskState | undefined, after: TaskState | undefined): void {
     if (before) this.#remove(before);
     if (after) this.#add(after);
@@ -79,10 +79,10 @@
     }
     owner.live.add(task.taskId);
     owner.committed = addResources(owner.committed, task.resources);
-    this.#live.add(owner);
+    this.#liveOwners.add(owner);
     if (task.state !== 'revoked') return;
     this.#revoked.add(task.taskId);
-    this.#addPending(task.hostId, task.resources);
+    this.#addPendingRelease(task.hostId, task.resources);
   }
 
   #remove(task: TaskState): void {
@@ -95,30 +95,37 @@
     owner.live.delete(task.taskId);
     owner.committed = subtractResources(owner.committed, task.resources);
     if (owner.live.size === 0) {
-      // Sums of fractions drift; an owner without tasks holds nothing.
+      // Sums of fractions accumulate rounding errors; an owner without tasks holds no resources.
       owner.committed = NO_RESOURCES;
-      this.#live.delete(owner);
+      this.#liveOwners.delete(owner);
     }
     if (task.state !== 'revoked') return;
     this.#revoked.delete(task.taskId);
-    this.#removePending(task.hostId, task.resources);
+    this.#removePendingRelease(task.hostId, task.resources);
   }
 
-  #addPending(hostId: string, resources: Resources): void {
-    this.#pending.set(hostId, addResources(this.#pending.get(hostId) ?? NO_RESOURCES, resources));
+  #addPendingRelease(hostId: string, resources: Resources): void {
+    this.#pendingRelease.set(
+      hostId,
+      addResources(this.#pendingRelease.get(hostId) ?? NO_RESOURCES, resources),
+    );
   }
 
-  #removePending(hostId: string, resources: Resources): void {
-    const left = subtractResources(this.#pending.get(hostId) ?? NO_RESOURCES, resources);
-    if (left.cpu + left.memoryMb + left.accelerators < 1e-3) this.#pending.delete(hostId);
-    else this.#pending.set(hostId, left);
+  #removePendingRelease(hostId: string, resources: Resources): void {
+    const remaining = subtractResources(
+      this.#pendingRelease.get(hostId) ?? NO_RESOURCES,
+      resources,
+    );
+    if (remaining.cpu + remaining.memoryMb + remaining.accelerators < 1e-3)
+      this.#pendingRelease.delete(hostId);
+    else this.#pendingRelease.set(hostId, remaining);
   }
 
   #ownerOf({ kind, owner }: TaskState): MutableOwner {
     const key = `${kind} ${owner}`;
     const known = this.#owners.get(key);
     if (known) return known;
-    const fresh: MutableOwner = {
+    const created: MutableOwner = {
       kind,
       owner,
       live: new Set(),
@@ -128,15 +135,15 @@
       next: 0,
       committed: NO_RESOURCES,
     };
-    this.#owners.set(key, fresh);
-    return fresh;
+    this.#owners.set(key, created);
+    return created;
   }
 }
 
 function countIndex(owner: MutableOwner, index: number): void {
   if (!Number.isInteger(index) || index < 0 || index > MAX_INDEX) return;
   owner.gaps.delete(index);
-  // A replica's index is never used again, so only jobs fill their gaps.
+  // The index of a replica is never reused, so gaps are recorded only for jobs.
   for (let i = owner.next; owner.kind === 'job' && i < index; i += 1) owner.gaps.add(i);
   owner.next = Math.max(owner.next, index + 1);
 }
--- a/packages/decisions/src/policy/team-usage.ts
+++ b/packages/decisions/src/policy/team-usage.ts
@@ -8,8 +8,8 @@
 } from '@redwingcrank/protocol';
 
 /**
- * What each team's tasks are bound with in this data centre. Quotas hold in each data centre by
- * itself: data centres that are cut off from each other cannot share one.
+ * The resources of each team's tasks in this data centre. A quota applies to each data centre
+ * separately: data centres that are cut off from each other cannot share one.
  */
 export class TeamUsage {
   readonly #teams: ReadonlyMap<string, Team>;
@@ -35,27 +35,27 @@
     return this.#used.get(team) ?? NO_RESOURCES;
   }
 
-  /** Whether the team's quota leaves room for a task. */
+  /** Returns whether a task fits in the unused part of the team's quota. */
   allows(team: string, resources: Resources): boolean {
     const quota = this.#teams.get(team)?.quota;
     return quota !== undefined && fits(resources, subtractResources(quota, this.used(team)));
   }
 
-  /** Whether the team's whole quota would hold the task. */
+  /** Returns whether the task fits in the team's whole quota. */
   couldEverAllow(team: string, resources: Resources): boolean {
     const quota = this.#teams.get(team)?.quota;
     return quota !== undefined && fits(resources, quota);
   }
 
-  /** The team's largest part of any resource, divided by its weight (dominant share). */
+  /** Returns the dominant share of a team: its largest share of a resource, over its weight. */
   share(team: string): number {
-    const known = this.#shares.get(team);
-    if (known !== undefined) return known;
+    const cached = this.#shares.get(team);
+    if (cached !== undefined) return cached;
     const used = this.used(team);
-    const parts = RESOURCE_KINDS.map((kind) =>
+    const resourceShares = RESOURCE_KINDS.map((kind) =>
       this.#total[kind] > 0 ? used[kind] / this.#total[kind] : 0,
     );
-    const share = Math.max(...parts) / (this.#teams.get(team)?.weight ?? 1);
+    const share = Math.max(...resourceShares) / (this.#teams.get(team)?.weight ?? 1);
     this.#shares.set(team, share);
     return share;
   }
--- a/packages/decisions/src/test/colocation_test.ts
+++ b/packages/decisions/src/test/colocation_test.ts
@@ -60,7 +60,7 @@
   }
 }
 
-test('latency above target throttles a job, then moves a task; low latency restores the share', () => {
+test('latency above target throttles a job, then moves a task; low latency lifts the limit', () => {
   // The service's tail latency exceeds its target. Throttling costs the batch work little and takes
   // effect within one report lag. Only if no kind of batch work is left to throttle is a task
   // checkpointed and moved. After the latency has been low for a minute, the share is restored
