--- a/packages/decisions/src/rebind/control-node.ts
+++ b/packages/decisions/src/rebind/control-node.ts
@@ -21,18 +21,18 @@
 import { withClockDrift } from './timing.js';
 
 export interface ControlNodeOptions {
-  /** The fold of the control stream, which others may read as well. */
+  /** The fold of the control stream; other components may read it too. */
   readonly fold: ControlFold;
   readonly nodeId: string;
   /** Changes with each start of the process. */
   readonly incarnation: string;
   readonly dataCentre: string;
   readonly timing: LeaseTiming;
-  /** When the process began, on its monotonic clock, in milliseconds. */
+  /** When the process started, on its monotonic clock, in milliseconds. */
   readonly startedAt: number;
 }
 
-/** What a pass of the holder looks at beside the fold. */
+/** The input of a pass of the holder, in addition to the fold. */
 export interface DecideInput {
   readonly manifest: Manifest;
   readonly listed: readonly ListedHost[] | undefined;
@@ -42,45 +42,45 @@
   readonly memory?: SchedulingMemory;
 }
 
-/** Past this part of the bound on the age of its read, a node has workers save their work. */
-const NEARLY_STALE = 0.6;
+/** At this share of the maximum age of its log read, a node tells workers to save checkpoints. */
+const NEARLY_STALE_SHARE = 0.6;
 
-/** A holder that decides less often than this part of a lease was paused. */
-const PAUSE_PART = 0.5;
+/** A holder was paused if the time between two passes exceeds this share of a lease. */
+const MAX_PASS_GAP_SHARE = 0.5;
 
-/** So many unread reports are kept; the next ones say the same again. */
-const REPORT_LIMIT = 10_000;
+/** Maximum number of reports kept for the next pass; workers repeat the content of dropped ones. */
+const MAX_PENDING_REPORTS = 10_000;
 
 /**
- * One node's part in deciding for its data centre and in tending its workers: what comes in are
- * records, hellos, reports and the time; what goes out are actions for the log and messages for
- * workers. `now` is always the node's own monotonic clock, in milliseconds.
+ * The decisions of one node for its data centre and its workers. The inputs are records, hellos of
+ * peers, reports of workers and the time; the outputs are actions for the log and commands for
+ * workers. `now` is always the time of the node's own monotonic clock, in milliseconds.
  */
 export class ControlNode {
   readonly fold: ControlFold;
 
   readonly #options: ControlNodeOptions;
 
-  readonly #lapses: LeaseExpiryTracker;
+  readonly #leaseExpiry: LeaseExpiryTracker;
 
-  readonly #hosts: WorkerLiveness;
+  readonly #liveness: WorkerLiveness;
 
-  readonly #memberSince = new Map<string, number>();
+  readonly #memberWatchedSince = new Map<string, number>();
 
-  #reports: AskedReport[] = [];
+  #pendingReports: AskedReport[] = [];
 
-  #readStartedAt: number | undefined;
+  #lastReadStartedAt: number | undefined;
 
-  #decidedAt = -Infinity;
+  #lastPassAt = -Infinity;
 
   constructor(options: ControlNodeOptions) {
     this.#options = options;
     this.fold = options.fold;
-    this.#lapses = new LeaseExpiryTracker(options.timing, options.startedAt);
-    this.#hosts = new WorkerLiveness(options.timing.leaseMs);
+    this.#leaseExpiry = new LeaseExpiryTracker(options.timing, options.startedAt);
+    this.#liveness = new WorkerLiveness(options.timing.leaseMs);
   }
 
-  /** The name under which this node holds a term: a restarted node is another holder. */
+  /** The key under which this node holds a term. A restarted node is a different holder. */
   get key(): string {
     return memberKey(this.#options.nodeId, this.#options.incarnation);
   }
@@ -89,127 +89,133 @@
     return this.fold.holder === this.key;
   }
 
-  /** Whether this node has caught up with the log but is not yet among those that may act. */
+  /** Whether this node has caught up with the log but is not yet a member, so it may not act. */
   get shouldJoin(): boolean {
-    return this.#readStartedAt !== undefined && !this.#isMember();
+    return this.#lastReadStartedAt !== undefined && !this.#isMember();
   }
 
-  /** Notes what became of a record that was folded. */
+  /** Handles the result of folding a record. */
   onFolded({ left }: ApplyResult, now: number): void {
-    if (left) this.#lapses.onMembersLeft(left, now);
+    if (left) this.#leaseExpiry.onMembersLeft(left, now);
   }
 
-  /** Notes that the fold was put in place as a whole: who left before is not known. */
+  /** Handles a fold restored from a snapshot, after which earlier departures are unknown. */
   onRestored(now: number): void {
-    this.#lapses.onRestored(now);
+    this.#leaseExpiry.onRestored(now);
   }
 
   /**
-   * Notes a read that found nothing beyond what was folded.
+   * Handles a complete read of the log, one that found no record beyond those already folded.
    *
-   * @param startedAt - When that read was sent off: it may have missed what was written later.
+   * @param startedAt - When the read was sent. It may have missed records written later.
    */
   onReadToEnd(startedAt: number): void {
-    this.#readStartedAt = Math.max(startedAt, this.#readStartedAt ?? -Infinity);
+    this.#lastReadStartedAt = Math.max(startedAt, this.#lastReadStartedAt ?? -Infinity);
   }
 
-  /** Takes a peer's hello: whoever says that it folded a revocation renews that lease no more. */
+  /** Handles a peer's hello. A peer that has folded a revocation no longer renews that lease. */
   onHello(peer: ReceivedHello): void {
-    this.#lapses.onHello(peer);
+    this.#leaseExpiry.onHello(peer);
   }
 
-  /** Takes a worker's report for the next pass. */
+  /** Keeps a worker's report for the next pass. */
   onReport(asked: AskedReport, now: number): void {
-    this.#hosts.onReport(asked.report.hostId, now);
-    if (this.#reports.length < REPORT_LIMIT) this.#reports.push(asked);
+    this.#liveness.onReport(asked.report.hostId, now);
+    if (this.#pendingReports.length < MAX_PENDING_REPORTS) this.#pendingReports.push(asked);
   }
 
-  /** How long ago the last whole read of the log began, in milliseconds; Infinity before it. */
+  /** Returns the time in milliseconds since the last complete log read started, or Infinity. */
   readAge(now: number): number {
-    return now - (this.#readStartedAt ?? -Infinity);
+    return now - (this.#lastReadStartedAt ?? -Infinity);
   }
 
-  /** Whether this node may renew every lease it knows of. */
+  /** Returns whether this node may renew all leases that it knows. */
   tending(now: number): boolean {
-    return this.#isMember() && this.readAge(now) < this.#options.timing.staleMs * NEARLY_STALE;
+    return (
+      this.#isMember() && this.readAge(now) < this.#options.timing.staleMs * NEARLY_STALE_SHARE
+    );
   }
 
-  /** What to tell a worker, judged by a report that has just come. */
+  /** Returns the commands for a worker whose report has just arrived. */
   commandsFor(report: WorkerReport, now: number): Generator<WorkerCommand, void> {
     const age = this.readAge(now);
     const { staleMs } = this.#options.timing;
     return workerCommands(this.fold, report, {
-      // A node that was restarted must not act before it has folded what it may have promised.
+      // A restarted node must not act before it has folded the records that it may have
+      // acknowledged earlier.
       member: this.#isMember(),
       upToDate: age < staleMs,
-      nearlyStale: age >= staleMs * NEARLY_STALE,
+      nearlyStale: age >= staleMs * NEARLY_STALE_SHARE,
     });
   }
 
   /**
-   * One pass of the holder. The fold must not change before it is over, and the next pass must
-   * wait until what this one decided was read back.
+   * Runs one pass of the holder. The fold must not change before the pass is complete, and the next
+   * pass must wait until the decisions of this one have been read back from the log.
    */
   *decide(input: DecideInput, now: number): Generator<PlanStep, void> {
-    this.#noticePause(now);
-    const unreachable = this.#hosts.unreachable(this.fold, now);
-    const over = new Set<string>();
+    this.#detectPause(now);
+    const unreachable = this.#liveness.unreachable(this.fold, now);
+    const endedTaskIds = new Set<string>();
     const { dataCentre } = this.#options;
     const plan = planPass({ ...input, dataCentre, fold: this.fold, unreachable });
-    const reports = this.#reports;
-    this.#reports = [];
-    let whole = false;
+    const reports = this.#pendingReports;
+    this.#pendingReports = [];
+    let isComplete = false;
     try {
-      for (const step of chain(this.#findings(reports, unreachable, now), plan)) {
-        const ends = step.type === 'action' && endedTask(step.action);
-        // The plan does not see what was found in the same pass, and may revoke it once more.
-        if (!ends || !over.has(ends)) yield step;
-        if (ends) over.add(ends);
+      for (const step of chain(this.#observations(reports, unreachable, now), plan)) {
+        const endedTaskId = step.type === 'action' && endedTaskOf(step.action);
+        // The plan does not include the observations of the same pass, and may revoke a task again.
+        if (!endedTaskId || !endedTaskIds.has(endedTaskId)) yield step;
+        if (endedTaskId) endedTaskIds.add(endedTaskId);
       }
-      whole = true;
+      isComplete = true;
     } finally {
-      if (!whole) this.#reports = [...reports, ...this.#reports];
+      if (!isComplete) this.#pendingReports = [...reports, ...this.#pendingReports];
     }
   }
 
-  /** After a pause, or as a new holder, silence of others says nothing. */
-  #noticePause(now: number): void {
-    if (now - this.#decidedAt > this.#options.timing.leaseMs * PAUSE_PART) {
-      this.#hosts.reset(now);
-      this.#memberSince.clear();
+  /** After a pause, or for a new holder, the silence of others has no meaning. */
+  #detectPause(now: number): void {
+    if (now - this.#lastPassAt > this.#options.timing.leaseMs * MAX_PASS_GAP_SHARE) {
+      this.#liveness.reset(now);
+      this.#memberWatchedSince.clear();
     }
-    this.#decidedAt = now;
+    this.#lastPassAt = now;
   }
 
-  *#findings(
+  *#observations(
     reports: readonly AskedReport[],
     unreachable: ReadonlySet<string>,
     now: number,
   ): Generator<ControlAction> {
-    const said = new Set<string>();
+    const yielded = new Set<string>();
     for (const asked of reports) {
       for (const action of observeReport(this.fold, asked)) {
-        // A worker says the same in each report until the record has been folded.
+        // A worker repeats the same content in each report until the record has been folded.
         const key = JSON.stringify(action);
-        if (!said.has(key)) yield action;
-        said.add(key);
+        if (!yielded.has(key)) yield action;
+        yielded.add(key);
       }
     }
-    yield* this.#lapses.expiredAttempts(this.fold, this.key, now);
-    yield* this.#silentMembers(now);
+    yield* this.#leaseExpiry.expiredAttempts(this.fold, this.key, now);
+    yield* this.#removeSilentMembers(now);
     yield* this.#revokeUnreachable(unreachable);
   }
 
-  *#silentMembers(now: number): Generator<ControlAction> {
+  *#removeSilentMembers(now: number): Generator<ControlAction> {
     const { leaseMs, staleMs } = this.#options.timing;
     for (const member of this.fold.members) {
       const key = memberKey(member.nodeId, member.incarnation);
-      const since = this.#memberSince.get(key) ?? now;
-      this.#memberSince.set(key, since);
-      const heardAt = Math.max(this.#lapses.lastHelloAt(member) ?? since, since);
+      const watchedSince = this.#memberWatchedSince.get(key) ?? now;
+      this.#memberWatchedSince.set(key, watchedSince);
+      const lastHeardAt = Math.max(
+        this.#leaseExpiry.lastHelloAt(member) ?? watchedSince,
+        watchedSince,
+      );
       const { nodeId, incarnation } = member;
-      const silent = now - heardAt > withClockDrift(staleMs + leaseMs);
-      if (key !== this.key && silent) yield { type: 'leave', nodeId, incarnation };
+      const isSilent = now - lastHeardAt > withClockDrift(staleMs + leaseMs);
+      if (key !== this.key && isSilent) yield { type: 'leave', nodeId, incarnation };
     }
   }
 
@@ -227,19 +233,19 @@
 
   #isMember(): boolean {
     const { nodeId, incarnation } = this.#options;
-    return this.#readStartedAt !== undefined && this.fold.members.has(nodeId, incarnation);
+    return this.#lastReadStartedAt !== undefined && this.fold.members.has(nodeId, incarnation);
   }
 }
 
 function* chain(
-  findings: Iterable<ControlAction>,
+  observations: Iterable<ControlAction>,
   plan: Iterable<PlanStep>,
 ): Generator<PlanStep, void> {
-  for (const action of findings) yield { type: 'action', action };
+  for (const action of observations) yield { type: 'action', action };
   yield* plan;
 }
 
-/** The task whose attempt an action revokes or ends. */
-function endedTask(action: ControlAction): string | undefined {
+/** Returns the id of the task whose attempt an action revokes or ends. */
+function endedTaskOf(action: ControlAction): string | undefined {
   return action.type === 'revoke' || action.type === 'ended' ? action.taskId : undefined;
 }
--- a/packages/decisions/src/rebind/members.ts
+++ b/packages/decisions/src/rebind/members.ts
@@ -1,25 +1,25 @@
-/** A node that may act on workers since the record at `offset`. */
+/** A node that may act on workers since the record at `offset` was folded. */
 export interface Member {
   readonly nodeId: string;
   readonly incarnation: string;
   readonly offset: number;
 }
 
-/** Names one membership: a node that was restarted is another member. */
+/** Returns the key of one membership. A restarted node is a different member. */
 export function memberKey(nodeId: string, incarnation: string): string {
   return `${nodeId}/${incarnation}`;
 }
 
 /**
- * The nodes that may act on workers, as the control stream names them. A node acts only once it
- * has folded its own record here, so no node can act that a scheduler does not know of.
+ * The nodes that may act on workers according to the control stream. A node acts only after it has
+ * folded its own join record, so every node that can act is known to all schedulers.
  */
 export class Members {
   readonly #members = new Map<string, Member>();
 
   #lastLeave = -1;
 
-  /** The offset of the last record that ended a membership; -1 where none did. */
+  /** The offset of the last record that ended a membership; -1 before the first. */
   get lastLeave(): number {
     return this.#lastLeave;
   }
@@ -32,23 +32,23 @@
     return this.#members.get(nodeId)?.incarnation === incarnation;
   }
 
-  /** Puts the members of a snapshot in place of these. */
+  /** Replaces the members with those of a snapshot. */
   restore(members: Iterable<Member>, lastLeave: number): void {
     this.#members.clear();
     for (const member of members) this.#members.set(member.nodeId, member);
     this.#lastLeave = lastLeave;
   }
 
-  /** @returns The key of the membership that this one replaces, where there is one. */
+  /** @returns The key of the membership that this one replaces, if any. */
   join(nodeId: string, incarnation: string, offset: number): string[] {
-    const before = this.#members.get(nodeId);
-    if (before?.incarnation === incarnation) return [];
-    const left = before ? this.leave(nodeId, before.incarnation, offset) : [];
+    const previous = this.#members.get(nodeId);
+    if (previous?.incarnation === incarnation) return [];
+    const left = previous ? this.leave(nodeId, previous.incarnation, offset) : [];
     this.#members.set(nodeId, { nodeId, incarnation, offset });
     return left;
   }
 
-  /** @returns The key of the membership that ended, where there was one. */
+  /** @returns The key of the membership that ended, if any. */
   leave(nodeId: string, incarnation: string, offset: number): string[] {
     if (!this.has(nodeId, incarnation)) return [];
     this.#members.delete(nodeId);
--- a/packages/decisions/src/rebind/overcommitted-hosts.ts
+++ b/packages/decisions/src/rebind/overcommitted-hosts.ts
@@ -3,8 +3,8 @@
 import type { ControlFold, HostState, TaskState } from '../control-fold.js';
 
 /**
- * The attempts to revoke where a host has shrunk below what is committed on it. The fold refuses
- * new bindings there, but what already runs would go on overloading the host.
+ * Yields the attempts to revoke on hosts whose capacity has shrunk below the committed resources.
+ * The fold refuses new bindings there, but running tasks would continue to overload the host.
  */
 export function* overcommittedTasks(
   fold: ControlFold,
@@ -23,15 +23,17 @@
   manifest: Manifest,
 ): Generator<TaskState, void> {
   const tiers = tiersOf(manifest);
-  const staying = [...host.tasks]
+  const remaining = [...host.tasks]
     .map((taskId) => fold.tasks.get(taskId))
     .filter((task) => task !== undefined)
     .filter((task) => task.state !== 'revoked')
-    .sort((a, b) => rank(b, tiers) - rank(a, tiers) || b.boundOffset - a.boundOffset);
-  let needed = staying.reduce((sum, task) => addResources(sum, task.resources), NO_RESOURCES);
-  for (const task of staying) {
-    if (fits(needed, host.capacity)) return;
-    needed = subtractResources(needed, task.resources);
+    .sort(
+      (a, b) => evictionRank(b, tiers) - evictionRank(a, tiers) || b.boundOffset - a.boundOffset,
+    );
+  let required = remaining.reduce((sum, task) => addResources(sum, task.resources), NO_RESOURCES);
+  for (const task of remaining) {
+    if (fits(required, host.capacity)) return;
+    required = subtractResources(required, task.resources);
     yield task;
   }
 }
@@ -40,8 +42,8 @@
   return new Map([...services, ...jobs].map(({ name, tier }) => [name, TIERS.indexOf(tier)]));
 }
 
-/** What goes first has the highest rank: jobs before services, then what matters less. */
-function rank({ kind, owner }: TaskState, tiers: ReadonlyMap<string, number>): number {
+/** Returns the eviction rank: jobs rank above services, and lower tiers above higher ones. */
+function evictionRank({ kind, owner }: TaskState, tiers: ReadonlyMap<string, number>): number {
   const tier = tiers.get(owner) ?? TIERS.length;
   return kind === 'job' ? tier + TIERS.length + 1 : tier;
 }
--- a/packages/decisions/src/rebind/timing.ts
+++ b/packages/decisions/src/rebind/timing.ts
@@ -1,21 +1,22 @@
-/** The times on which rebinding rests. All nodes of a data centre must be given the same. */
+/** The timing that makes rebinding safe. All nodes of a data centre must use the same values. */
 export interface LeaseTiming {
-  /** How long a lease lasts from the heartbeat that its renewal answers, in milliseconds. */
+  /** The duration of a lease in milliseconds, from the heartbeat that its renewal answers. */
   readonly leaseMs: number;
   /**
-   * A node whose last whole read of the log began longer ago starts nothing, and renews no
-   * attempt whose task may lapse in an outage. In milliseconds.
+   * The maximum age of the last complete read of the log in milliseconds, from the start of the
+   * read. A node with an older read starts no attempts, and renews only those whose `onOutage` is
+   * `keep`.
    */
   readonly staleMs: number;
 }
 
 /**
- * Clocks of two machines may differ in rate by one part in a hundred each; what one of them has
- * to wait out is stretched by this factor. Real clocks differ by less than one in a thousand.
+ * The factor by which waiting times are extended. The rates of the clocks of two machines may each
+ * be off by one part in a hundred; real clocks differ by less than one part in a thousand.
  */
-const CLOCK_STRETCH = 1.025;
+const CLOCK_DRIFT_FACTOR = 1.025;
 
-/** How long to wait, on any clock, for `ms` to have surely passed on every other clock. */
+/** Returns how long to wait on any clock so that `ms` have elapsed even on the slowest clock. */
 export function withClockDrift(ms: number): number {
-  return ms * CLOCK_STRETCH;
+  return ms * CLOCK_DRIFT_FACTOR;
 }
--- a/packages/decisions/src/rebind/worker-liveness.ts
+++ b/packages/decisions/src/rebind/worker-liveness.ts
@@ -1,33 +1,33 @@
 import type { ControlFold } from '../control-fold.js';
 
-/** Below this part of the hosts heard, it is this node that hears nobody. */
-const LEAST_PART_HEARD = 0.5;
+/** If fewer than this share of the hosts report, the fault is assumed to be on this node. */
+const MIN_REPORTING_SHARE = 0.5;
 
-/** Knows which workers have been silent for so long that their leases must be running out. */
+/** Tracks which workers have been silent for so long that their leases are about to expire. */
 export class WorkerLiveness {
   readonly #silenceMs: number;
 
-  readonly #heardAt = new Map<string, number>();
+  readonly #lastReportAt = new Map<string, number>();
 
   #resetAt = -Infinity;
 
-  /** @param silenceMs - A worker not heard for so long is unreachable. */
+  /** @param silenceMs - The time without a report after which a worker is unreachable. */
   constructor(silenceMs: number) {
     this.#silenceMs = silenceMs;
   }
 
   onReport(hostId: string, now: number): void {
-    this.#heardAt.set(hostId, now);
+    this.#lastReportAt.set(hostId, now);
   }
 
-  /** Begins anew: after a pause, or as a new holder, this node could not have heard anybody. */
+  /** Restarts all silence periods after a pause or as a new holder, when no report could arrive. */
   reset(now: number): void {
     this.#resetAt = now;
   }
 
   /**
-   * The hosts whose workers are silent. Where most of them are, the fault is more likely on this
-   * node's side, and moving everything would be the worse mistake: then none is named.
+   * Returns the hosts whose workers are silent. If most workers are silent, the fault is more
+   * likely on this node, and moving all tasks would be the worse mistake: the result is empty.
    */
   unreachable(fold: ControlFold, now: number): ReadonlySet<string> {
     const silent = new Set<string>();
@@ -35,16 +35,16 @@
     for (const { hostId, state } of fold.hosts.values()) {
       if (state === 'live') {
         live += 1;
-        if (now - this.#since(hostId, now) >= this.#silenceMs) silent.add(hostId);
+        if (now - this.#silentSince(hostId, now) >= this.#silenceMs) silent.add(hostId);
       }
     }
-    return live - silent.size >= live * LEAST_PART_HEARD ? silent : new Set();
+    return live - silent.size >= live * MIN_REPORTING_SHARE ? silent : new Set();
   }
 
-  #since(hostId: string, now: number): number {
-    const heardAt = this.#heardAt.get(hostId);
-    // A host seen for the first time has its full time to answer.
-    if (heardAt === undefined) this.#heardAt.set(hostId, now);
-    return Math.max(heardAt ?? now, this.#resetAt);
+  #silentSince(hostId: string, now: number): number {
+    const lastReportAt = this.#lastReportAt.get(hostId);
+    // A host that is seen for the first time gets the full silence period to report.
+    if (lastReportAt === undefined) this.#lastReportAt.set(hostId, now);
+    return Math.max(lastReportAt ?? now, this.#resetAt);
   }
 }
