--- a/packages/runtime/src/test/broken-work-records_test.ts
+++ b/packages/runtime/src/test/broken-work-records_test.ts
@@ -30,11 +30,11 @@
   largestCores: 1.35,
 };
 
-/** Values that are neither a job, nor progress, nor a leader, nor weights. */
-const STRANGERS = ['', '{', 'null', '7', '"x"', '[]', '[null]', '{"s":7}', '{"epoch":"9"}'];
+/** Values that are not valid for a job, progress, a leader or interference weights. */
+const MALFORMED_VALUES = ['', '{', 'null', '7', '"x"', '[]', '[null]', '{"s":7}', '{"epoch":"9"}'];
 
-/** A leader's records with one part of another type. */
-const BROKEN_LEADERS = [
+/** Leader records with one field of a wrong type or out of range. */
+const MALFORMED_LEADERS = [
   { ...LEADER, epoch: 1.5 },
   { ...LEADER, epoch: 1e300 },
   { ...LEADER, node: 7 },
@@ -71,38 +71,39 @@
   put('s/a', RUNNING);
 });
 
-function assertAsBefore(what: string): void {
-  assert.deepEqual(table.leader, LEADER, what);
-  assert.deepEqual(table.learned, { web: { batch: 0.4 } }, what);
-  assert.deepEqual([...table.jobs.keys()], ['a'], what);
-  assert.deepEqual(table.jobs.get('a')!.spec, SPEC, what);
-  assert.equal(table.jobs.get('a')!.state, 'running', what);
-  assert.equal(table.jobs.get('a')!.progress, RUNNING, what);
+/** Asserts that the table still holds exactly the records that each test starts with. */
+function assertUnchanged(message: string): void {
+  assert.deepEqual(table.leader, LEADER, message);
+  assert.deepEqual(table.learned, { web: { batch: 0.4 } }, message);
+  assert.deepEqual([...table.jobs.keys()], ['a'], message);
+  assert.deepEqual(table.jobs.get('a')!.spec, SPEC, message);
+  assert.equal(table.jobs.get('a')!.state, 'running', message);
+  assert.equal(table.jobs.get('a')!.progress, RUNNING, message);
 }
 
-test('a record that says nothing changes nothing', () => {
-  // A record that cannot be read ends the process at its first look at it; started again it meets
-  // the same record. On every node at once, that is an outage which no restart ends.
-  for (const value of STRANGERS) {
+test('a malformed record changes nothing', () => {
+  // Guards against a malformed record that crashes the process. Every node reads the record, and
+  // reads it again after a restart, so no restart would end the outage.
+  for (const value of MALFORMED_VALUES) {
     for (const key of ['leader', 'learned', 'j/a', 'j/b', 's/a', 's/b', 'x', '', '/', 'j']) {
       put(key, value);
-      assertAsBefore(`${key} ${value}`);
+      assertUnchanged(`${key} ${value}`);
     }
   }
 });
 
-test('a record whose bytes could not be read changes nothing', () => {
+test('a record whose bytes could not be decoded changes nothing', () => {
   const fault = { reason: 'unreadable', field: 'value' } as const;
   for (const key of ['leader', 'learned', 'j/a', 's/a', '']) {
     const rec: KeyedRecord = { key, value: undefined, fault };
     table.apply(rec);
-    assertAsBefore(key);
+    assertUnchanged(key);
   }
 });
 
-test('a job with one field of another type is no job', () => {
-  // The scheduling node adds claims up, counts tasks and follows the numbers of steps. A job that
-  // does not hold what it should is found out there, in the middle of everybody's decisions.
+test('a job record with one invalid field is ignored', () => {
+  // The leader sums up resources, counts tasks and follows references between steps. Guards against
+  // an invalid job that fails there, while the leader decides for the jobs of all callers.
   const step = SPEC.steps[0]!;
   const broken: object[] = [
     { ...SPEC, id: 'other' },
@@ -128,16 +129,16 @@
   assert.deepEqual(table.jobs.get('a')!.spec, SPEC);
 });
 
-test('a job of an earlier release lacks a field and is read all the same', () => {
+test('a job record of an earlier release, which lacks a newer field, is read', () => {
   const { maxUnavailable: _left, ...step } = SPEC.steps[0]!;
   table = new WorkTable('n9');
   put('j/a', JSON.stringify({ ...SPEC, steps: [step] }));
   assert.deepEqual(table.jobs.get('a')!.spec, SPEC);
 });
 
-test('progress that does not fit its job counts as unreadable', () => {
-  // It says where each task may run. Whoever takes scheduling over would look up tasks that are
-  // not there, in every round, and no job of any caller would begin.
+test('progress that does not match its job is rejected as unreadable', () => {
+  // Progress says where each task may run. Guards against a new leader that looks up tasks that do
+  // not exist: it would fail in every round, and no job of any caller would start.
   const broken = [
     { s: 'running', b: 1, o: [[0, []]] },
     { s: 'running', b: 1, o: [[0, [[0]]]] },
@@ -150,13 +151,13 @@
   ];
   for (const value of broken) {
     put('s/a', JSON.stringify(value));
-    assertAsBefore(JSON.stringify(value));
+    assertUnchanged(JSON.stringify(value));
   }
 });
 
-test('a job whose newest progress cannot be read is not taken over until it can', () => {
-  // The record may have said that a task is at work, or done. A node that takes scheduling over
-  // and starts from the record before would start such a task a second time.
+test('a job whose newest progress cannot be read stays unsure until readable progress arrives', () => {
+  // The unreadable record may say that a task is running or completed. Guards against a new leader
+  // that continues from the record before it and starts such a task a second time.
   assert.equal(table.jobs.get('a')!.isUnsure, false);
   put('s/a', '{"s":7}');
   assert.equal(table.jobs.get('a')!.isUnsure, true);
@@ -168,9 +169,9 @@
   assert.equal(table.jobs.get('a')!.isUnsure, true);
 });
 
-test('progress that cannot be read is no sign of life of the scheduling node', async () => {
-  // It may be anybody's. Taken for a sign, a dead scheduling node would never be replaced while
-  // another writer goes on.
+test('unreadable progress does not count as a sign of life of the leader', async () => {
+  // Any process may have written it. Guards against a dead leader that is not replaced while
+  // another process continues to write such records.
   const seenMs = table.leaderSeenMs;
   await new Promise(setImmediate);
   put('s/a', '{"s":7}');
@@ -179,11 +180,11 @@
   assert.ok(table.leaderSeenMs > seenMs);
 });
 
-test('a leader with one part of another type is none, and its leases are taken to go on', () => {
-  // It may have been the next leader's, damaged: how long its leases last is then not known. Passed
-  // over in silence, tasks that it has started would be started elsewhere too early. So the next
-  // record that can be read counts as the first after a gap.
-  for (const value of BROKEN_LEADERS) {
+test('a malformed leader record is ignored, and the next record bounds the earlier leases', () => {
+  // It may be a damaged record of the next leader, whose leases are then unknown. Guards against
+  // ignoring that term: tasks that this leader started would be started elsewhere too early. So the
+  // next readable record counts as the first one after a gap.
+  for (const value of MALFORMED_LEADERS) {
     table = new WorkTable('n9');
     put('leader', encodeLeader(LEADER));
     put('leader', JSON.stringify(value));
@@ -194,8 +195,9 @@
   }
 });
 
-test("progress that cannot be read may be the scheduling node's, which has renewed leases since", async () => {
-  // No sign that the node lives, but none either that it gave no lease after what was read before.
+test('unreadable progress extends the assumed leases of the leader', async () => {
+  // It does not prove that the leader lives, but the leader may have written it, and may have granted
+  // leases later than the last readable record shows.
   await pause(400);
   put('s/a', '{"s":7}');
   const readMs = steadyMs();
--- a/packages/runtime/src/test/config-fixtures.ts
+++ b/packages/runtime/src/test/config-fixtures.ts
@@ -1,6 +1,6 @@
 import { WORKER_ENTRY } from './fixtures.js';
 
-/** A queue for the pool of the one worker. */
+/** A queue for the pool of `WORKER_ENTRY`. */
 const QUEUE = {
   name: 'q',
   pool: WORKER_ENTRY.pool,
@@ -13,7 +13,7 @@
   timeoutMs: 1_000,
 };
 
-/** What operators have set: one queue and its pool. */
+/** The configuration of the operators: one queue and its pool. */
 export const CONFIG = {
   version: 1,
   queues: [QUEUE],
--- a/packages/runtime/src/test/fault-log_test.ts
+++ b/packages/runtime/src/test/fault-log_test.ts
@@ -6,7 +6,7 @@
 
 const FAULT = { reason: 'missing', field: 'state' } as const;
 
-/** No second of writing has more lines than this. */
+/** Upper bound of the log lines that are written within one second. */
 const MAX_LINES = 20;
 
 let faults: FaultLog;
@@ -20,22 +20,23 @@
   faults = new FaultLog(log);
 });
 
-test('a key gets one line when it turns unusable, and one when it is sound again', () => {
-  // Entries are written every second or two: a line for each would bury all others.
+test('a key is logged once when its record becomes unusable and once when it is valid again', () => {
+  // Workers write their entries every second or two. Guards against a line for each of these records,
+  // which would hide all other lines.
   for (let i = 0; i < 5; i += 1) faults.unusable('workers', 'w1', FAULT);
   faults.unusable('workers', 'w1', { reason: 'wrong-type', field: 'state' });
   faults.usable('workers', 'w1');
   faults.usable('workers', 'w1');
   faults.usable('workers', 'w2');
-  const told = { log: 'workers', key: 'w1' };
+  const fields = { log: 'workers', key: 'w1' };
   assert.deepEqual(lines, [
-    ['record-unusable', { ...told, ...FAULT }],
-    ['record-unusable', { ...told, reason: 'wrong-type', field: 'state' }],
-    ['record-usable', told],
+    ['record-unusable', { ...fields, ...FAULT }],
+    ['record-unusable', { ...fields, reason: 'wrong-type', field: 'state' }],
+    ['record-usable', fields],
   ]);
 });
 
-test('the same key of another log is another one, and a deleted key is a new one', () => {
+test('keys are tracked for each log separately, and a deleted key counts as new', () => {
   faults.unusable('workers', 'config', FAULT);
   faults.unusable('operator', 'config', FAULT);
   faults.forget('workers', 'config');
@@ -43,7 +44,7 @@
   assert.equal(lines.length, 3);
 });
 
-test('many broken keys at once cost few lines, and each record is counted', () => {
+test('the number of lines for many broken keys is limited, and every record is counted', () => {
   for (let i = 0; i < 3_000; i += 1) faults.unusable('workers', `w${i}`, FAULT);
   assert.ok(lines.length <= MAX_LINES, `${lines.length} lines`);
   assert.deepEqual([...faults.counts], [{ source: 'workers', reason: 'missing', count: 3_000 }]);
--- a/packages/runtime/src/test/fixtures.ts
+++ b/packages/runtime/src/test/fixtures.ts
@@ -2,7 +2,7 @@
 import type { NodeSettings } from '../node-settings.js';
 import { steadyMs } from '../internal/delay.js';
 
-/** A worker with room for a few tasks. */
+/** The entry of a worker with capacity for a few tasks. */
 export const WORKER_ENTRY: WorkerEntry = {
   id: 'w1',
   address: 'w1.example:1',
@@ -14,14 +14,14 @@
   labels: [],
 };
 
-/** A view of callers' jobs to which nothing is ever added. */
+/** A view of the callers' jobs that is always up to date. */
 export const UP_TO_DATE_JOBS = {
   get jobsFreshMs(): number {
     return steadyMs();
   },
 };
 
-/** What a node of this name is told. */
+/** Returns the settings of a node with this name. */
 export function nodeSettings(node: string): NodeSettings {
   return {
     node,
--- a/packages/runtime/src/test/healthy-workers.ts
+++ b/packages/runtime/src/test/healthy-workers.ts
@@ -4,9 +4,9 @@
 import { steadyMs } from '../internal/delay.js';
 import { pause } from './wait.js';
 
-/** Workers that answer every renewal, after the wait that it asks for, and take every order. */
+/** Workers that answer every renewal after the wait it asks for, and accept every order. */
 export class HealthyWorkers extends TaskWorkers {
-  /** What runs on each worker; what is not here has nothing to do. */
+  /** The runs on each worker; a worker without an entry is idle. */
   readonly running = new Map<string, RunningRow[]>();
 
   override async renew({ id }: WorkerAddress, { waitMs }: RenewRequest): Promise<RenewResult> {
--- a/packages/runtime/src/test/idle-worker_test.ts
+++ b/packages/runtime/src/test/idle-worker_test.ts
@@ -17,10 +17,10 @@
   stopRetryMs: 1_200,
 };
 
-/** What a renewal takes beyond its wait: the calls, and a node that is busy, in milliseconds. */
-const LATE_MS = 190;
+/** Time of a renewal beyond its wait, for the calls and a busy node, in milliseconds. */
+const OVERHEAD_MS = 190;
 
-/** A worker on which nothing runs; its renewals are answered at once. */
+/** An idle worker, which answers renewals almost at once and records how long each may wait. */
 class IdleWorker extends HealthyWorkers {
   readonly waitsMs: number[] = [];
 
@@ -30,7 +30,7 @@
   }
 }
 
-/** The longest that a renewal of an idle worker waits there, in milliseconds. */
+/** Returns how long a renewal of an idle worker waits there at most, in milliseconds. */
 async function longestWaitMs(): Promise<number> {
   const worker = new IdleWorker();
   const listener = {
@@ -56,10 +56,10 @@
   return Math.max(...worker.waitsMs);
 }
 
-test('an idle worker may be given a task at any time between two of its answers', async () => {
-  // Nothing runs on a worker, so its answers are far apart. A job comes just before the next one:
-  // taken for silent, the worker gets nothing until the round after it, a quarter of a second later.
-  const answerMs = (await longestWaitMs()) + LATE_MS;
+test('an idle worker can receive a task at any time between two of its answers', async () => {
+  // The answers of an idle worker are far apart. Guards against a worker that counts as silent just
+  // before its next answer: a new job would wait for the next round, a quarter of a second later.
+  const answerMs = (await longestWaitMs()) + OVERHEAD_MS;
   const scheduler = new Scheduler(TIMING, 0, () => {});
   scheduler.setQueues([
     { name: 'q', pool: 'pool', priority: 0, maxAttempts: 3, stretch: 2, targetLatencyMs: 100 },
--- a/packages/runtime/src/test/job-fixtures.ts
+++ b/packages/runtime/src/test/job-fixtures.ts
@@ -1,7 +1,7 @@
 import type { JobSpec } from '@redwingcrank/jobs';
 import { JobProgress, PLAIN_STEP } from '@redwingcrank/jobs';
 
-/** A job with one task, which goes on until it is stopped. */
+/** A job with one task, which runs until it is stopped. */
 export const LONG_RUNNING_JOB: JobSpec = {
   id: '00000000000000aa',
   queue: 'q',
@@ -10,7 +10,7 @@
   acceptedMs: 0,
 };
 
-/** The progress of that job when it has just begun. */
+/** Returns the progress of that job just after its start. */
 export function startedProgress(): JobProgress {
   const progress = new JobProgress(LONG_RUNNING_JOB);
   progress.openDue(Date.now());
--- a/packages/runtime/src/test/job-service_test.ts
+++ b/packages/runtime/src/test/job-service_test.ts
@@ -15,30 +15,30 @@
 import { LONG_RUNNING_JOB } from './job-fixtures.js';
 import { leaderRecord } from './leader-record.js';
 
-/** Jobs are stored one append at a time, each when the test says so. */
-class HeldLog extends StaticLog {
+/** A log that answers each append only when the test says so. */
+class ManualLog extends StaticLog {
   readonly appends: (readonly KeyedWrite[])[] = [];
 
-  #settle: ((result: AppendResult) => void)[] = [];
+  #resolvers: ((result: AppendResult) => void)[] = [];
 
   override append(records: readonly KeyedWrite[]): Promise<AppendResult> {
     this.appends.push(records);
     return new Promise((resolve) => {
-      this.#settle.push(resolve);
+      this.#resolvers.push(resolve);
     });
   }
 
   answer(outcome: AppendResult['outcome']): void {
-    this.#settle.shift()!({ outcome, reason: '' });
+    this.#resolvers.shift()!({ outcome, reason: '' });
   }
 }
 
-/** A view of a store that can be lost. */
-class LosableView implements WorkView {
+/** A view whose connection to the store can be lost. */
+class DisconnectableView implements WorkView {
   readonly table = new WorkTable('n1');
 
-  /** A record of the scheduling node is read, by which pools take no more jobs. */
-  refuse(retryAfterMs: RetryAfter): void {
+  /** Reads a leader record by which the given capacity classes refuse jobs for the given times. */
+  readRefusals(retryAfterMs: RetryAfter): void {
     const value = encodeLeader(leaderRecord({ retryAfterMs }));
     this.table.apply({ key: leaderKey(), value });
   }
@@ -66,11 +66,11 @@
   targetLatencyMs: 100,
 };
 
-/** A service whose store the test plays. */
-class HeldService {
-  readonly log = new HeldLog();
+/** A job service whose store is controlled by the test. */
+class ControlledService {
+  readonly log = new ManualLog();
 
-  readonly view = new LosableView();
+  readonly view = new DisconnectableView();
 
   readonly nodeLog = new NodeLog('n1', 'silent');
 
@@ -85,81 +85,82 @@
   }
 }
 
-function nextTurn(): Promise<void> {
+function nextEventLoopTurn(): Promise<void> {
   return new Promise((resolve) => {
     setImmediate(resolve);
   });
 }
 
-test('a job that waits for its turn when the store is lost is refused, and never sent', async () => {
-  // Guards against "unknown" for a job that certainly has not run, and against storing it later.
-  const held = new HeldService();
-  const sent = held.submit('00000000000000a1');
-  const waiting = held.submit('00000000000000a2');
-  held.view.lose();
+test('a job that waits for another append when the store is lost is refused and never sent', async () => {
+  // Guards against the result "unknown" for a job that has not run, and against storing it later.
+  const service = new ControlledService();
+  const sent = service.submit('00000000000000a1');
+  const waiting = service.submit('00000000000000a2');
+  service.view.lose();
   assert.deepEqual(await Promise.all([sent, waiting]), ['unknown', 'not-run']);
-  held.log.answer('unknown');
-  await nextTurn();
-  assert.equal(held.log.appends.length, 1);
+  service.log.answer('unknown');
+  await nextEventLoopTurn();
+  assert.equal(service.log.appends.length, 1);
 });
 
-test('a job that waits for its turn until its time is over is refused, and never sent', async () => {
-  // Guards against the same behind an append that a slow store holds up.
-  const held = new HeldService();
-  const sent = held.submit('00000000000000a1');
-  const waiting = held.submit('00000000000000a2', 50);
+test('a job that waits for another append until its deadline is refused and never sent', async () => {
+  // Guards against the same failures where a slow store delays the append before it.
+  const service = new ControlledService();
+  const sent = service.submit('00000000000000a1');
+  const waiting = service.submit('00000000000000a2', 50);
   assert.equal(await waiting, 'not-run');
-  held.log.answer('appended');
+  service.log.answer('appended');
   assert.equal(await sent, 'accepted');
-  assert.equal(held.log.appends.length, 1);
+  assert.equal(service.log.appends.length, 1);
 });
 
-test('a job that was sent once without an answer is never said not to have run', async () => {
-  // Guards against a refusal of the second attempt that hides that the first may be stored.
-  const held = new HeldService();
-  const submitted = held.submit('00000000000000a1');
-  held.log.answer('unknown');
-  while (held.log.appends.length < 2) await nextTurn();
-  held.log.answer('refused');
+test('a job that was sent once without an answer is never reported as not run', async () => {
+  // Guards against a refused second attempt that hides that the first one may have been stored.
+  const service = new ControlledService();
+  const submitted = service.submit('00000000000000a1');
+  service.log.answer('unknown');
+  while (service.log.appends.length < 2) await nextEventLoopTurn();
+  service.log.answer('refused');
   assert.equal(await submitted, 'unknown');
 });
 
-test('a job that would wait too long for its turn is refused, unless it stands already', async () => {
-  // Guards against jobs that are accepted and starve, against refusing what other room is there for,
-  // and against telling a caller that a stored job has not run.
-  const held = new HeldService();
+test('a job that would wait too long to start is refused, unless it is already stored', async () => {
+  // Guards against jobs that are accepted and starve, against refusing jobs for which other capacity
+  // is free, and against reporting a stored job as not run.
+  const service = new ControlledService();
   const job = { ...LONG_RUNNING_JOB, id: '00000000000000a1', steps: [PLAIN_STEP] };
-  assert.equal(held.refusalMs(job, 'full'), undefined);
-  held.view.refuse({ [capacityClassOf('full', false)]: 2_500 });
-  assert.equal(held.refusalMs(job, 'full'), 2_500);
-  assert.equal(held.refusalMs(job, 'empty'), undefined);
+  assert.equal(service.refusalMs(job, 'full'), undefined);
+  service.view.readRefusals({ [capacityClassOf('full', false)]: 2_500 });
+  assert.equal(service.refusalMs(job, 'full'), 2_500);
+  assert.equal(service.refusalMs(job, 'empty'), undefined);
   const bestEffort = { ...PLAIN_STEP, fills: true };
-  assert.equal(held.refusalMs({ ...job, steps: [bestEffort] }, 'full'), undefined);
-  assert.equal(held.refusalMs({ ...job, steps: [bestEffort, PLAIN_STEP] }, 'full'), 2_500);
-  assert.equal(held.refusalMs(LONG_RUNNING_JOB, 'full'), undefined);
+  assert.equal(service.refusalMs({ ...job, steps: [bestEffort] }, 'full'), undefined);
+  assert.equal(service.refusalMs({ ...job, steps: [bestEffort, PLAIN_STEP] }, 'full'), 2_500);
+  assert.equal(service.refusalMs(LONG_RUNNING_JOB, 'full'), undefined);
 
-  const stored = held.submit(job.id);
-  held.log.answer('appended');
+  const stored = service.submit(job.id);
+  service.log.answer('appended');
   assert.equal(await stored, 'accepted');
-  assert.equal(held.refusalMs(job, 'full'), undefined);
+  assert.equal(service.refusalMs(job, 'full'), undefined);
 });
 
 test('a refused job is counted by the metrics', async () => {
-  // Guards against a line that the metrics cannot count: the caller would get an error for a refusal.
-  const held = new HeldService();
+  // Guards against a log event that the metrics cannot count: the caller would get an error instead
+  // of a refusal.
+  const service = new ControlledService();
   const state = { isLeading: false, viewAgeMs: 0, jobs: new Map(), faults: [] };
-  const metrics = new NodeMetrics(held.nodeLog, () => state);
-  held.view.refuse({ [capacityClassOf('full', false)]: 2_500 });
-  held.refusalMs({ ...LONG_RUNNING_JOB, steps: [PLAIN_STEP] }, 'full');
+  const metrics = new NodeMetrics(service.nodeLog, () => state);
+  service.view.readRefusals({ [capacityClassOf('full', false)]: 2_500 });
+  service.refusalMs({ ...LONG_RUNNING_JOB, steps: [PLAIN_STEP] }, 'full');
   assert.match(await metrics.text(), /submit_duration_seconds_count\{outcome="not-run"\} 1/);
 });
 
-test('a scheduling node that has fallen silent keeps no job out', (t) => {
-  // Guards against refusals that go on after the crowd, as nobody says that it is over.
-  const held = new HeldService();
+test('no job is refused on behalf of a leader that has become silent', (t) => {
+  // Guards against refusals that continue after the overload, as no newer record ends them.
+  const service = new ControlledService();
   const job = { ...LONG_RUNNING_JOB, steps: [PLAIN_STEP] };
-  held.view.refuse({ [capacityClassOf('full', false)]: 2_500 });
+  service.view.readRefusals({ [capacityClassOf('full', false)]: 2_500 });
   const nowMs = performance.now();
   t.mock.method(performance, 'now', () => nowMs + 2_000);
-  assert.equal(held.refusalMs(job, 'full'), undefined);
+  assert.equal(service.refusalMs(job, 'full'), undefined);
 });
--- a/packages/runtime/src/test/leader-record.ts
+++ b/packages/runtime/src/test/leader-record.ts
@@ -1,6 +1,6 @@
 import type { LeaderRecord } from '../internal/work-records.js';
 
-/** The claim of a node for its term, but for these fields. */
+/** Returns a claim, the first record of a leader's term, with the given fields replaced. */
 export function leaderRecord(fields: Partial<LeaderRecord> = {}): LeaderRecord {
   return {
     epoch: 2,
--- a/packages/runtime/src/test/memory-log.ts
+++ b/packages/runtime/src/test/memory-log.ts
@@ -9,11 +9,11 @@
 import { steadyMs } from '../internal/delay.js';
 import { pause } from './wait.js';
 
-/** A log in memory that can be held up. */
+/** A log in memory whose reads can be blocked. */
 export class MemoryLog extends KeyedLog {
   readonly records: KeyedRecord[] = [];
 
-  /** While set, reads are not answered. */
+  /** Whether reads are left without an answer. */
   isBlocked = false;
 
   override async append(records: readonly KeyedWrite[]): Promise<AppendResult> {
--- a/packages/runtime/src/test/port-fixtures.ts
+++ b/packages/runtime/src/test/port-fixtures.ts
@@ -3,7 +3,7 @@
 import { StaticLog } from './static-log.js';
 import { HealthyWorkers } from './healthy-workers.js';
 
-/** A platform on which nothing is stored, but for the parts that a test brings. */
+/** Returns a platform with empty logs and healthy workers, with the given parts replaced. */
 export function platformPort(parts: Partial<PlatformPort>): PlatformPort {
   return {
     workLog: new StaticLog(),
--- a/packages/runtime/src/test/running-term.ts
+++ b/packages/runtime/src/test/running-term.ts
@@ -9,7 +9,10 @@
 import { UP_TO_DATE_JOBS, nodeSettings } from './fixtures.js';
 import { leaderRecord } from './leader-record.js';
 
-/** The term of node `n1`, which has just read its claim, and the configuration that it follows. */
+/**
+ * A term of node `n1` as leader, started when the node has just read its own claim, with the
+ * configuration that it follows.
+ */
 export class RunningTerm {
   readonly #term: LeaderTerm;
 
--- a/packages/runtime/src/test/static-log.ts
+++ b/packages/runtime/src/test/static-log.ts
@@ -3,11 +3,11 @@
 import { steadyMs } from '../internal/delay.js';
 import { pause } from './wait.js';
 
-/** A log that has these records and takes every append; nothing more is ever read there. */
+/** A log with a fixed set of records: it accepts every append, but reads never return new records. */
 export class StaticLog extends KeyedLog {
   readonly #records: NewestPage['records'];
 
-  /** What was appended. */
+  /** All appended records. */
   readonly writes: KeyedWrite[] = [];
 
   constructor(records: NewestPage['records'] = []) {
--- a/packages/runtime/src/test/virtual-fleet.ts
+++ b/packages/runtime/src/test/virtual-fleet.ts
@@ -23,15 +23,17 @@
 import { StaticLog } from './static-log.js';
 import { VirtualNetwork, VirtualPeers } from './virtual-peers.js';
 
-/** Waiting reads look for a new record so often, in milliseconds. */
-const LOOK_MS = 5;
+/** Interval at which waiting reads check for a new record, in milliseconds. */
+const POLL_INTERVAL_MS = 5;
 
-/** Turns of the event loop until all that a timer has set off is done. */
-const TURNS = 2;
+/** Turns of the event loop in which everything that a timer triggers completes. */
+const EVENT_LOOP_TURNS = 2;
 
-const DRAW_PRIME = 2 ** 31 - 1;
+/** Modulus of the random number generator, a prime. */
+const RANDOM_MODULUS = 2 ** 31 - 1;
 
-const DRAW_FACTOR = 48_271;
+/** Multiplier of the random number generator. */
+const RANDOM_MULTIPLIER = 48_271;
 
 interface Timer {
   readonly dueMs: number;
@@ -39,15 +41,16 @@
 }
 
 /**
- * The steady clock, all waits and all draws of the process stand under the test: a second of many
- * nodes passes in a few milliseconds, and a seed repeats it.
+ * Replaces the steady clock, the timers and the random numbers of the process: a second of many
+ * nodes takes a few milliseconds, and a run can be repeated with its seed.
  */
 export class VirtualTime {
   #nowMs = 1_000;
 
+  /** State of the random number generator. */
   #state = 1;
 
-  /** By when they are due. */
+  /** Pending timers, ordered by due time. */
   #timers: Timer[] = [];
 
   constructor(context: TestContext) {
@@ -68,44 +71,45 @@
     return this.#nowMs;
   }
 
-  /** Draws from now on depend on this alone. */
+  /** Seeds the random number generator: later numbers depend only on the seed. */
   seed(seed: number): void {
-    this.#state = seed % DRAW_PRIME;
-    // The first draws of neighbouring seeds are alike.
+    this.#state = seed % RANDOM_MODULUS;
+    // The first numbers of neighbouring seeds are similar.
     for (let i = 0; i < 10; i += 1) this.randomInt(1);
   }
 
-  /** A whole number from 0, below a bound. */
+  /** Returns a random integer from 0 to `below` - 1. */
   randomInt(below: number): number {
-    // A multiplicative generator modulo a prime: enough to draw waits.
-    this.#state = (this.#state * DRAW_FACTOR) % DRAW_PRIME;
-    return Math.floor((this.#state / DRAW_PRIME) * below);
+    // A multiplicative congruential generator is random enough for wait times.
+    this.#state = (this.#state * RANDOM_MULTIPLIER) % RANDOM_MODULUS;
+    return Math.floor((this.#state / RANDOM_MODULUS) * below);
   }
 
-  /** The process works for so long, and no timer fires meanwhile. */
+  /** Simulates work that blocks the event loop for the given time: no timer fires meanwhile. */
   block(ms: number): void {
     this.#nowMs += ms;
   }
 
+  /** Advances the clock by the given time and fires the timers that become due. */
   async advance(ms: number): Promise<void> {
     const endMs = this.#nowMs + ms;
-    await settle();
+    await runPendingWork();
     while ((this.#timers[0]?.dueMs ?? Infinity) <= endMs) {
       this.#nowMs = Math.max(this.#nowMs, this.#timers[0]!.dueMs);
       while (this.#timers[0] && this.#timers[0].dueMs <= this.#nowMs) this.#timers.shift()!.fire();
-      await settle();
+      await runPendingWork();
     }
     this.#nowMs = Math.max(this.#nowMs, endMs);
   }
 
-  /** Waits for something, at most so long; whether it came. */
-  async advanceUntil(came: () => boolean, ms: number): Promise<boolean> {
-    for (const endMs = this.#nowMs + ms; this.#nowMs < endMs && !came();)
-      await this.advance(LOOK_MS);
-    return came();
+  /** Advances the clock until the condition holds, by `ms` at most; returns whether it holds. */
+  async advanceUntil(holds: () => boolean, ms: number): Promise<boolean> {
+    for (const endMs = this.#nowMs + ms; this.#nowMs < endMs && !holds();)
+      await this.advance(POLL_INTERVAL_MS);
+    return holds();
   }
 
-  /** Resolves when so many milliseconds have passed. */
+  /** Returns a promise that resolves after the given time on the virtual clock. */
   after(ms: number): Promise<void> {
     return new Promise((resolve) => {
       this.#add(ms, resolve);
@@ -124,28 +128,34 @@
   }
 }
 
-async function settle(): Promise<void> {
-  for (let i = 0; i < TURNS; i += 1) {
+/** Waits until everything that the last timers triggered has completed. */
+async function runPendingWork(): Promise<void> {
+  for (let i = 0; i < EVENT_LOOP_TURNS; i += 1) {
     await new Promise((resolve) => {
       setImmediate(resolve);
     });
   }
 }
 
-/** A store of one log: each call takes its time, and of each epoch one writer is let in. */
+/**
+ * A store with one log. Each call takes `oneWayMs` each way. Stamped appends are checked for the
+ * writer's epoch and sequence number, so that each epoch has one writer.
+ */
 export class VirtualStore extends KeyedLog {
   readonly #time: VirtualTime;
 
   readonly #records: KeyedRecord[] = [];
 
+  /** Epoch of the newest accepted append. */
   #epoch = 0;
 
+  /** Sequence number of the newest accepted append. */
   #sequence = -1;
 
-  /** What a call takes to reach the store, and its answer to come back, in milliseconds. */
+  /** Latency of a call to the store, and again of its answer, in milliseconds. */
   oneWayMs = 5;
 
-  /** How many claims were sent. */
+  /** Number of claims of the leadership that were sent. */
   claimCount = 0;
 
   constructor(time: VirtualTime) {
@@ -153,7 +163,7 @@
     this.#time = time;
   }
 
-  /** Stores a record of the test's own. */
+  /** Stores a record that the test itself writes. */
   put(key: string, value: string): void {
     this.#records.push({ key, value });
   }
@@ -165,22 +175,26 @@
     const [first] = records;
     if (first?.key === leaderKey() && first.value?.includes('"number":0')) this.claimCount += 1;
     await this.#time.after(this.oneWayMs);
-    const outcome = stamp ? this.#admit(stamp.epoch, stamp.sequence) : 'appended';
+    const outcome = stamp ? this.#checkStamp(stamp.epoch, stamp.sequence) : 'appended';
     if (outcome === 'appended') this.#records.push(...records);
     await this.#time.after(this.oneWayMs);
     return { outcome, reason: '' };
   }
 
   override async read(from: number, waitMs: number): Promise<ReadResult> {
-    const askedMs = this.#time.nowMs;
+    const calledMs = this.#time.nowMs;
     await this.#time.after(this.oneWayMs);
-    for (let leftMs = waitMs; leftMs > 0 && this.#records.length <= from; leftMs -= LOOK_MS) {
-      await this.#time.after(LOOK_MS);
+    for (
+      let leftMs = waitMs;
+      leftMs > 0 && this.#records.length <= from;
+      leftMs -= POLL_INTERVAL_MS
+    ) {
+      await this.#time.after(POLL_INTERVAL_MS);
     }
     const records = this.#records.slice(from);
     const end = from + records.length;
     await this.#time.after(this.oneWayMs);
-    const asOfMs = records.length > 0 ? askedMs : this.#time.nowMs - this.oneWayMs;
+    const asOfMs = records.length > 0 ? calledMs : this.#time.nowMs - this.oneWayMs;
     return { records, next: end, end, asOfMs };
   }
 
@@ -190,14 +204,14 @@
     return { records: [...newest.values()], hasMore: false, end: this.#records.length };
   }
 
-  /** Who schedules, by the record of the highest epoch. */
+  /** The newest leader record. */
   get leader(): Pick<LeaderRecord, 'node' | 'epoch' | 'standby'> | undefined {
     const rec = this.#records.findLast(({ key }) => key === leaderKey());
     const decoded = decodeLeader(rec?.value ?? '');
     return 'value' in decoded ? decoded.value : undefined;
   }
 
-  #admit(epoch: number, sequence: number): AppendResult['outcome'] {
+  #checkStamp(epoch: number, sequence: number): AppendResult['outcome'] {
     if (epoch < this.#epoch) return 'fenced';
     if (epoch === this.#epoch && sequence !== this.#sequence + 1) return 'out-of-sequence';
     this.#epoch = epoch;
@@ -206,18 +220,18 @@
   }
 }
 
-/** A log in which nothing ever stands. */
+/** A log without records, which refuses appends. */
 class EmptyLog extends StaticLog {
   override async append(): Promise<AppendResult> {
     return { outcome: 'refused', reason: 'empty' };
   }
 }
 
-/** The store as one node reaches it, until that node loses power. */
-class CutOffLog extends KeyedLog {
+/** The connection of one node to the store, until that node loses power. */
+class NodeStoreLog extends KeyedLog {
   readonly #store: VirtualStore;
 
-  isCut = false;
+  isDisconnected = false;
 
   constructor(store: VirtualStore) {
     super();
@@ -228,45 +242,45 @@
     records: readonly KeyedWrite[],
     options?: AppendOptions,
   ): Promise<AppendResult> {
-    // Whatever would end the node's part: it is not there any more.
-    if (this.isCut) return { outcome: 'fenced', reason: 'cut' };
+    // Any result would do that ends the node's work, as the node no longer exists.
+    if (this.isDisconnected) return { outcome: 'fenced', reason: 'cut' };
     return this.#store.append(records, options);
   }
 
   override async read(from: number, waitMs: number): Promise<ReadResult> {
-    if (this.isCut) throw new StoreUnavailableError('cut');
+    if (this.isDisconnected) throw new StoreUnavailableError('cut');
     return this.#store.read(from, waitMs);
   }
 
   override async newest(): Promise<NewestPage> {
-    if (this.isCut) throw new StoreUnavailableError('cut');
+    if (this.isDisconnected) throw new StoreUnavailableError('cut');
     return this.#store.newest();
   }
 }
 
-/** One node, as far as the scheduling role goes. */
+/** One node, with only the parts that leadership needs. */
 export class VirtualNode {
   readonly name: string;
 
   readonly cores: number;
 
-  /** The names of its events. */
+  /** The log events of the node. */
   readonly events: { readonly event: string; readonly fields: LogFields }[] = [];
 
-  readonly #log: CutOffLog;
+  readonly #log: NodeStoreLog;
 
   readonly #follower: WorkFollower;
 
   readonly #leadership: Leadership;
 
-  /** How other nodes reach it; undefined where nodes meet in the store alone. */
+  /** The node's connections to other nodes; undefined where nodes only share the store. */
   readonly peers: VirtualPeers | undefined;
 
   constructor(name: string, cores: number, store: VirtualStore, peers?: VirtualPeers) {
     this.peers = peers;
     this.name = name;
     this.cores = cores;
-    this.#log = new CutOffLog(store);
+    this.#log = new NodeStoreLog(store);
     const log = new NodeLog(name, 'silent');
     log.observe((event, fields) => this.events.push({ event, fields }));
     const empty = new EmptyLog();
@@ -280,7 +294,7 @@
   }
 
   get isLeading(): boolean {
-    return this.#leadership.isLeading && !this.#log.isCut;
+    return this.#leadership.isLeading && !this.#log.isDisconnected;
   }
 
   start(): void {
@@ -288,22 +302,22 @@
     this.#leadership.run().catch(() => {});
   }
 
-  /** Its process is killed, and its connections are closed with it. */
+  /** Simulates that the process is killed, which closes its connections. */
   kill(): void {
     this.losePower();
     this.peers?.kill();
   }
 
-  /** It loses power: no word of it reaches anybody from now on. */
+  /** Simulates a power loss: the node sends nothing any more, and its connections stay open. */
   losePower(): void {
-    this.#log.isCut = true;
+    this.#log.isDisconnected = true;
     if (this.peers) this.peers.reachability = 'silent';
     this.#follower.stop();
     this.#leadership.stop().catch(() => {});
   }
 }
 
-/** Large and small nodes on one store. */
+/** Nodes of different sizes that share one store. */
 export class VirtualFleet {
   readonly time: VirtualTime;
 
@@ -313,13 +327,14 @@
 
   readonly #network: VirtualNetwork | undefined;
 
-  /** `isConnected`: whether its nodes reach each other, too, and not the store alone. */
+  /** @param isConnected whether the nodes also have connections to each other. */
   constructor(time: VirtualTime, isConnected = false) {
     this.time = time;
     if (isConnected) this.#network = new VirtualNetwork(time);
     this.store = new VirtualStore(time);
   }
 
+  /** Adds a node and starts it. */
   add(name: string, cores: number): VirtualNode {
     const peers = this.#network && new VirtualPeers(this.#network, name, cores);
     const node = new VirtualNode(name, cores, this.store, peers);
@@ -328,14 +343,14 @@
     return node;
   }
 
-  /** Adds nodes of one size that start within 0.3 s of each other. */
+  /** Adds a node for each of the sizes, in cores; they start within 0.3 s of each other. */
   async addMany(sizes: readonly number[]): Promise<void> {
-    const starts = sizes.map((cores) => ({ cores, inMs: this.time.randomInt(300) }));
-    starts.sort((a, b) => a.inMs - b.inMs);
+    const startups = sizes.map((cores) => ({ cores, delayMs: this.time.randomInt(300) }));
+    startups.sort((a, b) => a.delayMs - b.delayMs);
     let passedMs = 0;
-    for (const { cores, inMs } of starts) {
-      await this.time.advance(inMs - passedMs);
-      passedMs = inMs;
+    for (const { cores, delayMs } of startups) {
+      await this.time.advance(delayMs - passedMs);
+      passedMs = delayMs;
       this.add(`n${this.nodes.length}`, cores);
     }
   }
--- a/packages/runtime/src/test/virtual-peers.ts
+++ b/packages/runtime/src/test/virtual-peers.ts
@@ -3,12 +3,13 @@
 import { PeerGoneError, PeerLink, PeerPort, PeerUnreachedError } from '../peer-port.js';
 import type { VirtualTime } from './virtual-fleet.js';
 
-/** What connecting takes, in milliseconds. */
-const WAY_MS = 2;
+/** Time that it takes to connect, in milliseconds. */
+const CONNECT_MS = 2;
 
-/** An attempt that nobody answers is given up after so long, in milliseconds. */
-const GIVE_UP_MS = 2_000;
+/** Timeout of a connection attempt without an answer, in milliseconds. */
+const CONNECT_TIMEOUT_MS = 2_000;
 
+/** One side of a connection. */
 class VirtualLink extends PeerLink {
   readonly peer: PeerHello;
 
@@ -16,7 +17,8 @@
 
   #close: () => void = () => {};
 
-  other: VirtualLink | undefined;
+  /** The other side of the connection. */
+  remote: VirtualLink | undefined;
 
   constructor(peer: PeerHello) {
     super();
@@ -26,24 +28,28 @@
     });
   }
 
-  /** The network tells this side that the connection has ended. */
-  end(): void {
+  /** Resolves `closed`: the connection has ended. */
+  markClosed(): void {
     this.#close();
   }
 
   close(): void {
-    this.end();
-    this.other?.end();
+    this.markClosed();
+    this.remote?.markClosed();
   }
 }
 
-/** How connections to a process come out: a cut one, and one whose queue is full, are silent. */
+/**
+ * The outcome of connection attempts to a process. A process that is cut off, or whose accept queue
+ * is full, is silent.
+ */
 export type PeerReachability = 'reachable' | 'silent' | 'refused';
 
-/** Connects virtual processes by their addresses. */
+/** Connects virtual processes by address. */
 export class VirtualNetwork {
   readonly time: VirtualTime;
 
+  /** The listening processes by address. */
   readonly processes = new Map<string, VirtualPeers>();
 
   constructor(time: VirtualTime) {
@@ -51,7 +57,7 @@
   }
 }
 
-/** One process of a virtual network, reached at the name of its node. */
+/** One process of a virtual network; its address is the name of its node. */
 export class VirtualPeers extends PeerPort {
   readonly self: PeerHello;
 
@@ -75,31 +81,31 @@
   }
 
   async open(address: string, signal: AbortSignal): Promise<PeerLink> {
-    await this.#network.time.after(WAY_MS);
+    await this.#network.time.after(CONNECT_MS);
     const target = this.#network.processes.get(address);
     if (!target || target.reachability === 'refused') throw new PeerGoneError('refused');
     if (target.reachability === 'silent') {
-      await this.#network.time.after(GIVE_UP_MS);
+      await this.#network.time.after(CONNECT_TIMEOUT_MS);
       throw new PeerUnreachedError('timeout');
     }
     if (signal.aborted) throw new PeerUnreachedError('aborted');
-    const near = new VirtualLink(target.self);
-    const far = new VirtualLink(this.self);
-    Object.assign(near, { other: far });
-    Object.assign(far, { other: near });
-    this.#links.add(near);
-    target.#links.add(far);
-    target.accepted$.next(far);
-    return near;
+    const local = new VirtualLink(target.self);
+    const accepted = new VirtualLink(this.self);
+    Object.assign(local, { remote: accepted });
+    Object.assign(accepted, { remote: local });
+    this.#links.add(local);
+    target.#links.add(accepted);
+    target.accepted$.next(accepted);
+    return local;
   }
 
-  /** Every connection of this process is reset; it lives on. */
+  /** Resets every connection of this process, which continues to run. */
   reset(): void {
     for (const link of this.#links) link.close();
     this.#links.clear();
   }
 
-  /** The process is killed: its connections are closed, and nothing listens at its address. */
+  /** Simulates that the process is killed: its connections close, and its address refuses new ones. */
   kill(): void {
     const { processes } = this.#network;
     if (processes.get(this.self.node) === this) processes.delete(this.self.node);
--- a/packages/runtime/src/test/wait.ts
+++ b/packages/runtime/src/test/wait.ts
@@ -1,15 +1,15 @@
 import assert from 'node:assert/strict';
 import { delay, steadyMs } from '../internal/delay.js';
 
-/** How long a test waits at most for what must happen, in milliseconds. */
-const UNTIL_MS = 3_000;
+/** Timeout of `waitUntil`, in milliseconds. */
+const WAIT_TIMEOUT_MS = 3_000;
 
-/** Waits so long. */
+/** Waits for the given time, in milliseconds. */
 export const pause = (ms: number): Promise<void> => delay(ms, new AbortController().signal);
 
-/** Waits until something holds; fails where it does not come to. */
+/** Waits until the condition holds; fails the test where it does not hold within 3 s. */
 export async function waitUntil(holds: () => boolean): Promise<void> {
-  for (const endMs = steadyMs() + UNTIL_MS; !holds(); await pause(5)) {
-    assert.ok(steadyMs() < endMs, 'waited in vain');
+  for (const endMs = steadyMs() + WAIT_TIMEOUT_MS; !holds(); await pause(5)) {
+    assert.ok(steadyMs() < endMs, 'timed out waiting for a condition');
   }
 }
