--- a/packages/runtime/src/test/keyed-follower_test.ts
+++ b/packages/runtime/src/test/keyed-follower_test.ts
@@ -9,8 +9,8 @@
 import { KeyedFollower } from '../internal/keyed-follower.js';
 import { steadyMs } from '../internal/delay.js';
 
-/** An empty log that can be lost, and notes how long each read may wait. */
-class LosableLog extends KeyedLog {
+/** An empty log that can become unavailable, and records how long each read may wait. */
+class InterruptibleLog extends KeyedLog {
   isLost = false;
 
   readonly waitsMs: number[] = [];
@@ -31,15 +31,14 @@
   }
 }
 
-test('the log tells how old the view was when it was lost and regained', async () => {
-  // For 600 ms the store cannot be read. Whoever looks into a caller's complaint needs to know from
-  // the log how old the view was by which the node answered: from that alone, when the records
-  // were written tells what it could know. The first read after it asks for no wait at the store,
-  // as the view would stay old for as long.
-  const told = new Map<string, LogFields>();
+test('the log events of losing and regaining the store state the age of the view', async () => {
+  // Guards against a log from which an operator cannot tell by how old a view a node answered its
+  // callers, and so which records it could know. The store cannot be read for 600 ms here. The first
+  // reads after that must not wait at the store for records: the view would stay old for as long.
+  const logged = new Map<string, LogFields>();
   const log = new NodeLog('n1', 'silent');
-  log.observe((event, fields) => told.set(event, fields));
-  const source = new LosableLog();
+  log.observe((event, fields) => logged.set(event, fields));
+  const source = new InterruptibleLog();
   const follower = new KeyedFollower(source, log, { name: 'work', waitMs: 400, gapMs: 20 });
   const running = follower.run();
   await pause(100);
@@ -50,22 +49,23 @@
   await pause(300);
   follower.stop();
   await running;
-  const lostAgeMs = told.get('log-lost')?.ageMs as number;
-  const regainedAgeMs = told.get('log-regained')?.ageMs as number;
+  const lostAgeMs = logged.get('log-lost')?.ageMs as number;
+  const regainedAgeMs = logged.get('log-regained')?.ageMs as number;
   assert.ok(lostAgeMs < 200, `${lostAgeMs} ms`);
   assert.ok(regainedAgeMs >= 600 && regainedAgeMs < 1_000, `${regainedAgeMs} ms`);
   const waitsMs = source.waitsMs.slice(before + 1);
   assert.equal(waitsMs.indexOf(400), waitsMs.lastIndexOf(0) + 1, `${waitsMs}`);
 });
 
-/** A log that forgot its history and answers with older pages for a while. */
-class ForgetfulLog extends KeyedLog {
-  /** Where the log ends, and from where on it has its records. */
+/** A log that dropped its history and answers with outdated pages for a while. */
+class TruncatedLog extends KeyedLog {
+  /** The offset at which the log ends. */
   end = 2;
 
+  /** The offset of the first record that can still be read. */
   first = 0;
 
-  /** The pages of newest records to come; the last one is given again. */
+  /** The next pages of newest records; the last one is returned repeatedly. */
   pages: NewestPage[] = [{ records: [{ key: 'w1', value: 'ready' }], hasMore: false, end: 2 }];
 
   override async append(): Promise<AppendResult> {
@@ -86,64 +86,65 @@
   }
 }
 
-/** Follows a forgetful log until the test ends; `told` are the values that were told, in order. */
-function followForgetful(
-  source: ForgetfulLog,
+/** Follows a log until the test ends; `received` holds the values that were received, in order. */
+function followTruncated(
+  source: TruncatedLog,
   t: TestContext,
-): { follower: KeyedFollower; told: string[] } {
+): { follower: KeyedFollower; received: string[] } {
   const log = new NodeLog('n1', 'silent');
   const follower = new KeyedFollower(source, log, { name: 'workers', waitMs: 0, gapMs: 20 });
-  const told: string[] = [];
+  const received: string[] = [];
   follower.messages$.subscribe((message) => {
-    if (message.kind === 'record') told.push(message.rec.value ?? '');
+    if (message.kind === 'record') received.push(message.rec.value ?? '');
   });
   const running = follower.run();
   t.after(async () => {
     follower.stop();
     await running;
   });
-  return { follower, told };
+  return { follower, received };
 }
 
-test('a page that is older than what the log was known to hold is not taken', async (t) => {
-  // The store drops the history of the workers' entries, and a worker says just then that it leaves. The
-  // page of newest entries that the node is given is seconds old: by it the worker stays, and the view
-  // passed for as new as the question.
-  const source = new ForgetfulLog();
-  const { follower, told } = followForgetful(source, t);
+test('a page that ends before the known end of the log is rejected', async (t) => {
+  // Guards against an outdated view that counts as up to date. The store drops the history of the
+  // workers' entries just when a worker announces that it leaves, and answers with a page of newest
+  // entries that is seconds old and still lists the worker as ready.
+  const source = new TruncatedLog();
+  const { follower, received } = followTruncated(source, t);
   await pause(100);
   const old = source.pages[0]!;
   const leaving = { records: [{ key: 'w1', value: 'leaves' }], hasMore: false, end: 5 };
   source.pages = [old, { ...old, end: 4 }, leaving];
   Object.assign(source, { end: 5, first: 5 });
-  const forgotMs = steadyMs();
+  const truncatedMs = steadyMs();
   await pause(250);
-  assert.ok(follower.freshMs < forgotMs + 20, 'an old page passes for fresh');
+  assert.ok(follower.freshMs < truncatedMs + 20, 'an outdated page counts as up to date');
   await pause(500);
-  assert.deepEqual(told, ['ready', 'leaves']);
-  assert.ok(follower.freshMs > forgotMs);
+  assert.deepEqual(received, ['ready', 'leaves']);
+  assert.ok(follower.freshMs > truncatedMs);
 });
 
-test('a page counts as complete only once the log was read from its end', async (t) => {
-  // The same for a node that has read nothing before: nothing tells it that its first page is old but
-  // that the log has no records from there on any more.
-  const source = new ForgetfulLog();
+test('a loaded page counts as complete only after a read that continues from its end', async (t) => {
+  // Guards against the same failure on a node that has read nothing before. It can detect that its
+  // first page is outdated only when the records after that page have expired.
+  const source = new TruncatedLog();
   source.pages.push({ records: [{ key: 'w1', value: 'leaves' }], hasMore: false, end: 5 });
   Object.assign(source, { end: 5, first: 5 });
-  const { follower, told } = followForgetful(source, t);
-  let freshAfter: string[] | undefined;
-  const looking = setInterval(() => {
-    if (follower.freshMs > -Infinity) freshAfter ??= [...told];
+  const { follower, received } = followTruncated(source, t);
+  let receivedWhenFresh: string[] | undefined;
+  const polling = setInterval(() => {
+    if (follower.freshMs > -Infinity) receivedWhenFresh ??= [...received];
   }, 1);
   await pause(500);
-  clearInterval(looking);
-  assert.deepEqual(freshAfter, ['ready', 'leaves']);
+  clearInterval(polling);
+  assert.deepEqual(receivedWhenFresh, ['ready', 'leaves']);
 });
 
-test('an answer from before what was read does not make the view fresh', async (t) => {
-  // A part of the store that is behind answers that nothing was written, and knows less than the node.
-  const source = new ForgetfulLog();
-  const { follower } = followForgetful(source, t);
+test('an answer that ends before the known end of the log does not make the view up to date', async (t) => {
+  // Guards against a replica of the store that lags behind the node and answers that nothing was
+  // written.
+  const source = new TruncatedLog();
+  const { follower } = followTruncated(source, t);
   await pause(100);
   source.end = 1;
   const behindMs = steadyMs();
--- a/packages/runtime/src/test/late-start_test.ts
+++ b/packages/runtime/src/test/late-start_test.ts
@@ -17,38 +17,38 @@
 import { HealthyWorkers } from './healthy-workers.js';
 import { pause, waitUntil } from './wait.js';
 
-/** A log whose appends of some records wait until they are let through. */
-class HeldLog extends StaticLog {
-  readonly #isHeld: (write: KeyedWrite) => boolean;
+/** A log that blocks the appends of some records until they are released. */
+class BlockingLog extends StaticLog {
+  readonly #isBlocked: (write: KeyedWrite) => boolean;
 
-  #let: () => void = () => {};
+  #resolveRelease: () => void = () => {};
 
-  readonly #letThrough = new Promise<void>((resolve) => {
-    this.#let = resolve;
+  readonly #release = new Promise<void>((resolve) => {
+    this.#resolveRelease = resolve;
   });
 
-  heldCount = 0;
+  blockedCount = 0;
 
-  constructor(isHeld: (write: KeyedWrite) => boolean) {
+  constructor(isBlocked: (write: KeyedWrite) => boolean) {
     super();
-    this.#isHeld = isHeld;
+    this.#isBlocked = isBlocked;
   }
 
-  letThrough(): void {
-    this.#let();
+  release(): void {
+    this.#resolveRelease();
   }
 
   override async append(writes: readonly KeyedWrite[]): Promise<AppendResult> {
-    if (writes.some((write) => this.#isHeld(write))) {
-      this.heldCount += 1;
-      await this.#letThrough;
+    if (writes.some((write) => this.#isBlocked(write))) {
+      this.blockedCount += 1;
+      await this.#release;
     }
     return super.append(writes);
   }
 }
 
-/** Workers that tell which starts have reached them. */
-class StartedWorkers extends HealthyWorkers {
+/** Workers that record which of them received a start. */
+class RecordingWorkers extends HealthyWorkers {
   readonly started: string[] = [];
 
   override async order(_worker: unknown, { kind, worker }: Order): Promise<OrderResult> {
@@ -61,35 +61,35 @@
 
 const JOB = { ...LONG_RUNNING_JOB, steps: [{ ...PLAIN_STEP, cpuMilli: 1_000 }] };
 
-let workLog: HeldLog;
+let workLog: BlockingLog;
 
 let workerLog: MemoryLog;
 
-let workers: StartedWorkers;
+let workers: RecordingWorkers;
 
 let table: WorkTable;
 
 let stop: () => Promise<void>;
 
-function list(entry: Partial<WorkerEntry>): void {
+function listWorker(entry: Partial<WorkerEntry>): void {
   const value = JSON.stringify({ ...WORKER_ENTRY, ...entry });
   workerLog.records.push({ key: entry.id!, value });
 }
 
-/** Where tasks started, once the list was read and the binding was stored. */
-async function startedOnceStored(): Promise<readonly string[]> {
+/** Lets the list of workers be read and the binding be stored; returns where tasks started. */
+async function startsAfterStore(): Promise<readonly string[]> {
   await pause(600);
-  workLog.letThrough();
+  workLog.release();
   await waitUntil(() => workers.started.length > 0);
   await pause(100);
   return workers.started;
 }
 
-/** A term in which the binding of the only task has been sent to the store, without an answer yet. */
+/** Begins a term and waits until the binding of the only task is sent; the store does not answer yet. */
 beforeEach(async () => {
-  workLog = new HeldLog(({ key }) => key === progressKey(ID));
+  workLog = new BlockingLog(({ key }) => key === progressKey(ID));
   workerLog = new MemoryLog();
-  workers = new StartedWorkers();
+  workers = new RecordingWorkers();
   table = new WorkTable('n1');
   const port = platformPort({
     workLog,
@@ -99,41 +99,41 @@
     decodeWorker: ({ value }) => ({ value: JSON.parse(value!) as WorkerEntry }),
     decodeConfig: () => ({ value: CONFIG }),
   });
-  list({ id: 'w1' });
+  listWorker({ id: 'w1' });
   table.apply({ key: jobKey(ID), value: encodeJob(JOB) });
   const term = new RunningTerm(port, table);
   stop = async () => {
-    workLog.letThrough();
+    workLog.release();
     await term.stop();
   };
-  await waitUntil(() => workLog.heldCount > 0);
+  await waitUntil(() => workLog.blockedCount > 0);
 });
 
 afterEach(() => stop());
 
-test('a task does not start on a worker that said that it leaves while the binding was stored', async () => {
-  // The scheduling node has decided where a task is to run, and the store takes its time, or starts
-  // before it take the node's. Meanwhile the worker says that it leaves, and the node reads it. The
-  // task then starts on a worker that may be gone a second later, seconds after its word was stored.
-  list({ id: 'w1', draining: true, remainingMs: 3_000 });
-  list({ id: 'w2' });
-  assert.deepEqual(await startedOnceStored(), ['w2']);
+test('a task does not start on a worker that announced its departure while the binding was stored', async () => {
+  // The leader has placed a task, and a slow store or earlier starts delay its start. Meanwhile the
+  // leader reads that the worker leaves. Guards against a start that goes out all the same, on a
+  // worker that may be gone a second later, seconds after its announcement was stored.
+  listWorker({ id: 'w1', draining: true, remainingMs: 3_000 });
+  listWorker({ id: 'w2' });
+  assert.deepEqual(await startsAfterStore(), ['w2']);
 });
 
-test('a task does not start on a worker whose entry went while the binding was stored', async () => {
-  // The same, but the store dropped its history meanwhile, and with it the worker's word: the list says
-  // no more than that the worker is not there. It may stay for seconds, and takes what it is sent.
+test('a task does not start on a worker whose entry disappeared while the binding was stored', async () => {
+  // Guards against the same failure where the store dropped its history, and with it the worker's
+  // announcement: the list no longer names the worker, which may still accept starts for seconds.
   workerLog.records.push({ key: 'w1', value: undefined });
-  list({ id: 'w2' });
-  assert.deepEqual(await startedOnceStored(), ['w2']);
+  listWorker({ id: 'w2' });
+  assert.deepEqual(await startsAfterStore(), ['w2']);
 });
 
 test('a task does not start when its job was cancelled while the binding was stored', async () => {
-  // The same with a caller who cancels the job, which is confirmed. The stop that goes out at once may
-  // be lost or overtaken, and the caller sees a task start seconds after that.
+  // Guards against a task that starts seconds after its caller received the confirmation of the
+  // cancel: the stop that is sent at once may be lost, or the start may arrive after it.
   table.apply({ key: cancelKey(ID), value: '1' });
   await pause(50);
-  workLog.letThrough();
+  workLog.release();
   await pause(300);
   assert.deepEqual(workers.started, []);
 });
--- a/packages/runtime/src/test/leader-term_test.ts
+++ b/packages/runtime/src/test/leader-term_test.ts
@@ -16,6 +16,7 @@
 import { StaticLog } from './static-log.js';
 import { pause } from './wait.js';
 
+/** Workers of which none can be reached. */
 class NoWorkers extends TaskWorkers {
   override async renew(): Promise<RenewResult> {
     return { outcome: 'unknown', reason: 'no workers here' };
@@ -32,10 +33,11 @@
 
 const LOG = new NodeLog('n1', 'silent');
 
-test('a node that reads its claim together with the one that replaced it schedules nothing', async () => {
-  // The node was frozen just after its claim was stored. When it goes on, it reads its own claim
-  // and that of the node which has replaced it in one answer. Scheduling for a moment would renew
-  // leases that the other one, which counts them from an earlier time, takes to be over soon.
+test('a node that reads its own claim together with a newer one schedules nothing', async () => {
+  // A node freezes just after its claim is stored. When it continues, one answer contains its claim and
+  // the claim of the node that replaced it. Guards against scheduling for a moment: the node would
+  // renew leases beyond the time at which the other node, which counts from an earlier time, takes
+  // them to have expired.
   const workLog = new StaticLog();
   const port = platformPort({
     workLog,
@@ -60,21 +62,22 @@
     work: UP_TO_DATE_JOBS,
     config,
   });
-  const late = setTimeout(() => term.stop(), 1_000);
+  const timeout = setTimeout(() => term.stop(), 1_000);
   await term.run();
-  clearTimeout(late);
+  clearTimeout(timeout);
   assert.deepEqual(workLog.writes, []);
 });
 
-test('a claim counts as confirmed from when it was sent', () => {
-  // The store carried the claim out seconds after it was sent. Counted from when it was read, the
-  // node would renew leases for longer than a later one, which counts from the record, waits.
+test('a claim counts as confirmed at the time when it was sent', () => {
+  // The store may apply a claim seconds after it was sent. Guards against counting from when it was
+  // read: the node would renew leases for longer than a later leader, which counts from the record,
+  // waits for them.
   const sentMs = steadyMs() - 5_000;
   const writer = new LeaderWriter(new StaticLog(), LOG, { epoch: 1, sequence: 7, sentMs });
   assert.equal(writer.confirmedMs, sentMs);
 });
 
-/** Carries appends out; the answer to the first one comes late and is given up. */
+/** A log that accepts appends, but the first one times out without an answer. */
 class FirstAnswerLost extends StaticLog {
   #isFirst = true;
 
@@ -86,10 +89,10 @@
   }
 }
 
-test('an append whose answer was lost counts as confirmed from when it was sent first', async () => {
-  // The store carries an append out, the others read it, and its answer is lost; the repeat is
-  // answered. Counted from the repeat, the node would give leases that last longer than the others,
-  // who count from what they read, wait before they start its tasks elsewhere.
+test('an append whose answer was lost counts as confirmed at the time of its first attempt', async () => {
+  // The store applies an append and other nodes read it, but only the repeated append is answered.
+  // Guards against counting from the repeat: the leader would grant leases that last longer than the
+  // others, which count from what they read, wait before they start its tasks elsewhere.
   const claim = { epoch: 1, sequence: 7, sentMs: steadyMs() };
   const writer = new LeaderWriter(new FirstAnswerLost(), LOG, claim);
   const sentMs = steadyMs();
@@ -97,7 +100,7 @@
   assert.ok(writer.confirmedMs - sentMs < 100, `${writer.confirmedMs - sentMs} ms`);
 });
 
-/** Carries appends out, and answers the first one never; the next numbers go on from a claim's. */
+/** A log that accepts appends, never answers the first, and records their sequence numbers. */
 class NeverAnswered extends StaticLog {
   readonly sequences: number[] = [];
 
@@ -111,27 +114,27 @@
   }
 }
 
-test('the next append does not wait for the answer to one that was read back', async () => {
-  // The store carries appends out and its answers are lost. Behind one that waits for its answer
-  // nothing is written: no lease is renewed after some seconds, and all that runs ends.
+test('the next append does not wait for the answer to an append that was read back', async () => {
+  // The store applies appends, but its answers are lost. Guards against a leader that writes nothing
+  // while it waits for an answer: after some seconds it can renew no lease, and all running tasks end.
   const log = new NeverAnswered();
   const writer = new LeaderWriter(log, LOG, { epoch: 1, sequence: 7, sentMs: -Infinity });
   const records = [{ key: leaderKey(), value: 'x' }];
   const sentMs = steadyMs();
   const stored = writer.write(records);
   writer.readBack(sentMs);
-  const late = setTimeout(() => writer.stop(), 1_000);
+  const timeout = setTimeout(() => writer.stop(), 1_000);
   const isStored = await Promise.race([stored, pause(500)]);
   assert.equal(isStored, true);
   assert.ok(writer.confirmedMs >= sentMs);
   assert.ok(await writer.write(records));
-  clearTimeout(late);
+  clearTimeout(timeout);
   assert.deepEqual(log.sequences, [8, 9]);
 });
 
-test('an append is not taken for stored because the one before it is read back late', async () => {
-  // The record of an append that was answered is read only after the answer. Were that to end the
-  // wait for the next one, its starts would be sent before anything of them is stored.
+test('reading back an earlier append late does not confirm the next append', async () => {
+  // The record of an answered append is read back after the answer. Guards against that ending the
+  // wait for the next append: its starts would be sent before they are stored.
   const log = new NeverAnswered();
   log.sequences.push(7);
   const writer = new LeaderWriter(log, LOG, { epoch: 1, sequence: 7, sentMs: -Infinity });
--- a/packages/runtime/src/test/leadership_test.ts
+++ b/packages/runtime/src/test/leadership_test.ts
@@ -19,7 +19,7 @@
 
 const SETTINGS = nodeSettings('n2');
 
-/** A store that falls silent: reads that wait there already come back empty, nothing else does. */
+/** A store that becomes silent: only reads that already wait there are answered, without records. */
 class SilentStore extends KeyedLog {
   readonly claims: KeyedWrite[] = [];
 
@@ -39,7 +39,7 @@
   }
 }
 
-/** A store in which another node's claim stands that cannot be read yet. */
+/** A store that holds another node's claim, which cannot be read yet. */
 class ClaimedStore extends SilentStore {
   override async append(records: readonly KeyedWrite[]): Promise<AppendResult> {
     this.claims.push(...records);
@@ -52,7 +52,7 @@
   }
 }
 
-/** A node that follows a store in which the leader has written nothing since it was loaded. */
+/** A node that follows a store in which the leader has written nothing since the node loaded it. */
 class FollowingNode {
   readonly #follower: WorkFollower;
 
@@ -76,25 +76,25 @@
   }
 }
 
-test('a store that has just fallen silent is not taken for a dead scheduling node', async () => {
-  // The store falls silent. A read that was waiting there is still answered, with nothing: neither
-  // can the scheduling node write. Its silence is now longer than a living one's, and the view is
-  // fresh. A claim would replace a node that has lost nothing, seconds later, when it is stored.
+test('a store that has just become silent is not mistaken for a dead leader', async () => {
+  // When the store becomes silent, a read that was waiting there is still answered, without records, as
+  // the leader cannot write either. The leader then seems silent for too long although the view is up
+  // to date. Guards against a claim that is stored seconds later and replaces a healthy leader.
   const store = new SilentStore();
   await new FollowingNode(store).runFor(2_500);
   assert.deepEqual(store.claims, []);
 });
 
-test('a node whose claim was refused for the claim of another does not claim again at once', async () => {
-  // The store is slow: another node's claim is stored, and comes to be read a second later. Claims
-  // for the same epoch cannot win any more. They stand in the queue before the first records of
-  // the new scheduling node, which is taken for dead for want of them.
+test('a node whose claim lost against another claim does not claim again at once', async () => {
+  // With a slow store the other claim is read a second after it is stored. Guards against more claims
+  // for the same epoch, which cannot win: they delay the first records of the new leader in the
+  // store's queue, and the leader counts as dead without them.
   const store = new ClaimedStore();
   await new FollowingNode(store).runFor(3_000);
   assert.equal(store.claims.length, 1);
 });
 
-/** A store that refuses claims for a while, until another node's is stored that it was slow with. */
+/** A store that refuses all claims of this node; from `claimedMs` on, reads return another's claim. */
 class BusyStore extends ClaimedStore {
   claimedMs = Infinity;
 
@@ -111,18 +111,19 @@
   }
 }
 
-test('a node whose claims are refused sends them less and less often', async () => {
-  // More than two seconds of appends wait at the store, most of them claims. If all nodes ask again
-  // every half second, the queue stays full, and the records of the one whose claim is stored are
-  // refused as well.
+test('a node whose claims are refused repeats them at growing intervals', async () => {
+  // Appends worth more than two seconds wait at the store, most of them claims. Guards against all
+  // nodes claiming every half second: the queue stays full, and the records of the node whose claim
+  // is stored are refused as well.
   const store = new BusyStore();
   await new FollowingNode(store).runFor(7_000);
   assert.ok(store.claims.length >= 2 && store.claims.length <= 5, `${store.claims.length}`);
 });
 
-test('a new leader is not taken for dead while its first record waits behind claims', async () => {
-  // The node's own claim was refused, as so much waits at the store. Another's is stored; what that
-  // writes next waits there for up to two seconds. A claim after 1.1 s would replace it before that.
+test('a new leader does not count as dead while its first record waits behind claims', async () => {
+  // The queue of the store is full: the claim of this node was refused, another node's is stored, and
+  // that node's next record waits there for up to two seconds. Guards against a claim after 1.1 s of
+  // silence, which would replace the new leader before its record is stored.
   const store = new BusyStore();
   store.claimedMs = performance.now() + 2_000;
   const running = new FollowingNode(store).runFor(4_800);
