--- a/packages/runtime/src/test/lease-bounds_test.ts
+++ b/packages/runtime/src/test/lease-bounds_test.ts
@@ -10,13 +10,13 @@
 
 const WORKERS = ['w1', 'w2', 'w3'];
 
-/** A worker: the highest token it has seen, and when what runs there ends on its slow clock. */
+/** A worker: the highest token it has seen, and when its lease ends on its slow clock. */
 interface Worker {
   token: number;
   leaseEndMs: number;
 }
 
-/** One term of a scheduling node, with what the real one knows of workers. */
+/** One term of a leader, with the knowledge that a real leader has of the workers. */
 class Term {
   readonly leases: TermLeases;
 
@@ -24,17 +24,18 @@
 
   readonly epoch: number;
 
-  /** By worker: when this node takes all leases there to be over, its own and earlier ones. */
+  /** By worker: when this leader takes all leases there to have expired, its own and earlier ones. */
   readonly endsMs = new Map<string, number>();
 
+  /** Workers that have answered this leader. */
   readonly reached = new Set<string>();
 
-  /** Workers that do not answer this node now. */
+  /** Workers that do not answer this leader at present. */
   readonly silent = new Set<string>(WORKERS);
 
   isOver = false;
 
-  /** An append that is not answered yet. */
+  /** The append that has not been answered yet. */
   pending: { rec: LeaderRecord | undefined; sentMs: number } | undefined;
 
   confirmedMs: number;
@@ -56,16 +57,16 @@
   }
 }
 
-/** The node reads its own record, whose answer is still missing; its next append may follow at once. */
-function readBack(term: Term, goesOn: boolean): void {
+/** The leader reads its own record before the answer; its next append may follow at once. */
+function readBack(term: Term, continues: boolean): void {
   if (!term.pending?.rec) return;
   const { rec, sentMs } = term.pending;
   Object.assign(term, { confirmedMs: Math.max(term.confirmedMs, sentMs) });
   term.leases.recordStored();
-  if (goesOn) Object.assign(term, { pending: undefined, isOver: rec.resigned });
+  if (continues) Object.assign(term, { pending: undefined, isOver: rec.resigned });
 }
 
-/** A store, workers and scheduling nodes that come one after the other and may not know it yet. */
+/** A store, workers, and successive leaders, which may not know yet that they are replaced. */
 class World {
   #nowMs = 10_000;
 
@@ -75,10 +76,10 @@
 
   readonly #terms: Term[] = [];
 
-  /** Everything stored: a record of the scheduling node itself, or any other that it wrote. */
+  /** Everything stored: leader records, and `undefined` for any other record of a leader. */
   readonly #log: (LeaderRecord | undefined)[] = [];
 
-  /** Each node's own reading of the log: how far, and what follows from it. */
+  /** For each node: up to where it has read the log, and the leases that it derives from that. */
   readonly #readers = [0, 1, 2].map((i) => ({
     next: 0,
     former: new FormerLeases(`n${i}`, 10_000),
@@ -108,7 +109,7 @@
     }
   }
 
-  /** The node starts again, and reads the newest record alone. */
+  /** The node restarts, and reads only the newest record. */
   #restart(index: number): void {
     const former = new FormerLeases(`n${index}`, this.#nowMs);
     for (const term of this.#terms) {
@@ -119,7 +120,7 @@
     if (newest) former.recordRead(newest, this.#nowMs);
   }
 
-  /** The records between have expired: the node goes on from the newest ones. */
+  /** Records that the node has not read have expired: it continues from the newest one. */
   #reload(index: number): void {
     const reader = this.#readers[index]!;
     const newest = this.#log.findLast((rec) => rec !== undefined);
@@ -128,7 +129,7 @@
     reader.next = this.#log.length;
   }
 
-  /** A claim is sent, and stored so much later; its node reads on up to it. */
+  /** A claim is sent, and stored `lateMs` later; its node reads the log up to the claim. */
   #claim(index: number, lateMs: number): void {
     this.#read(index);
     const { former } = this.#readers[index]!;
@@ -152,7 +153,7 @@
     for (const [id, worker] of this.#workers) this.#check(id, worker);
   }
 
-  /** An append: of the node's record or of other things; answered, or its answer is lost. */
+  /** An append of the leader record or of other records; it is answered, or its answer is lost. */
   #write(term: Term, b: number): void {
     if (term.epoch !== this.#terms.at(-1)!.epoch) {
       Object.assign(term, { isOver: true });
@@ -166,7 +167,7 @@
       this.#log.push(rec);
       Object.assign(term, { pending: { rec, sentMs: this.#nowMs } });
     }
-    // Where the answer is lost the next step of this kind repeats the append, and others come between.
+    // After a lost answer the next step of this kind repeats the append; other steps may come between.
     if (b % 3 === 0) return;
     const { rec, sentMs } = term.pending!;
     Object.assign(term, {
@@ -195,7 +196,7 @@
     this.#check(id, worker);
   }
 
-  /** No later node that has not reached the worker may take its leases to be over before they are. */
+  /** No later leader that has not reached the worker may take its lease to expire too early. */
   #check(id: string, { token, leaseEndMs }: Worker): void {
     for (const later of this.#terms) {
       if (!later.isOver && later.epoch > token && !later.reached.has(id)) {
@@ -206,11 +207,13 @@
   }
 }
 
-/** Steps of one case at most, and how many cases are drawn: a second's worth. */
+/** Maximum number of steps of one case. */
 const MAX_STEPS = 60;
+
+/** Number of generated cases, which take about a second. */
 const RUNS = 5_000;
 
-/** Each as likely as it is often here. */
+/** The kinds of steps; a kind that is listed several times is drawn more often. */
 const KINDS = [
   ...['wait', 'wait', 'read', 'read', 'claim', 'restart', 'reload', 'read-back', 'silent'],
   ...['write', 'write', 'write', 'renew', 'renew', 'renew'],
@@ -218,10 +221,11 @@
 
 const STEP = fc.tuple(fc.constantFrom(...KINDS), fc.nat(9), fc.nat(9));
 
-test('no later scheduling node takes a lease to be over before it is', () => {
-  // Scheduling nodes come one after the other, some before the one before knows that it is
-  // replaced; records are read late, answers lost, nodes restarted. A node that takes a lease to be
-  // over too early starts a task that still runs elsewhere, and a booking is made twice.
+test('no later leader takes a lease to have expired before it has', () => {
+  // Leaders follow each other, sometimes before the previous one knows that it is replaced; records are
+  // read late, answers are lost, nodes restart. Guards against a leader that takes a lease to have
+  // expired too early: it would start a task that still runs elsewhere, and a booking would be made
+  // twice.
   fc.assert(
     fc.property(fc.array(STEP, { maxLength: MAX_STEPS, size: 'max' }), (steps) => {
       const world = new World();
@@ -231,9 +235,9 @@
   );
 });
 
-test('a worker that was lost under the first of many terms is not waited for anew in each', () => {
-  // A worker is lost and named as such by the node that schedules; then the role passes on twice.
-  // The last node takes the worker's leases to be over when the first one did.
+test('the wait for the leases of a lost worker does not restart with each new term', () => {
+  // The first leader names a lost worker in its record, then the leader changes twice. The last leader
+  // must take the leases of the worker to expire at the same time as the first one did.
   const record = (epoch: number, leasesMs: number, silent: LeaderRecord['silent']): LeaderRecord =>
     leaderRecord({ epoch, node: `n${epoch}`, nonce: '', leasesMs, silent });
   const former = new FormerLeases('n9', 0);
--- a/packages/runtime/src/test/link-starter_test.ts
+++ b/packages/runtime/src/test/link-starter_test.ts
@@ -8,95 +8,95 @@
 
 const LINKS = 160;
 
-/** What a link's first call costs a slow node, in milliseconds. */
+/** Processor time that the first call of a link costs a slow node, in milliseconds. */
 const CALL_MS = 3;
 
-/** A fifth of the silence after which a scheduling node is replaced, in milliseconds. */
-const MAX_HELD_UP_MS = 220;
+/** A fifth of the silence after which a leader is replaced, in milliseconds. */
+const MAX_BLOCKED_MS = 220;
 
-const IDLE: Pick<WorkerState, 'runs'> = { runs: new Map() };
+const IDLE_WORKER: Pick<WorkerState, 'runs'> = { runs: new Map() };
 
-/** A worker on which one task runs. */
-function occupied(lasting: boolean): Pick<WorkerState, 'runs'> {
+/** Returns a worker on which one task runs. */
+function busyWorker(lasting: boolean): Pick<WorkerState, 'runs'> {
   const run = { spec: { ...PLAIN_STEP, lasting } };
   return { runs: new Map([['a', run]]) } as unknown as Pick<WorkerState, 'runs'>;
 }
 
-test('a node that takes over hundreds of workers is never kept from its other work for long', async () => {
-  // A node with a third of a core takes over and calls each worker for the first time. Meanwhile it
-  // has to write its own record, or it is taken for dead, and the next one has the same before it.
+test('starting hundreds of links never blocks the other work of a new leader for long', async () => {
+  // A new leader with a third of a core calls each worker for the first time. Guards against these
+  // calls delaying its own record: it would count as dead and be replaced, and so would the next one.
   const stopping = new AbortController();
-  let begun = 0;
-  let inPiece = 0;
-  let longest = 0;
+  let started = 0;
+  let consecutive = 0;
+  let maxConsecutive = 0;
   const link = {
     run: async () => {
-      begun += 1;
-      inPiece += 1;
-      longest = Math.max(longest, inPiece);
+      started += 1;
+      consecutive += 1;
+      maxConsecutive = Math.max(maxConsecutive, consecutive);
     },
   } as unknown as WorkerLink;
   const starter = new LinkStarter(stopping.signal, (err) => assert.fail(String(err)));
-  // What else the node has to do gets its turn here. Calls are counted, not timed: a machine that is
-  // short of processor time holds the test itself up for longer than the calls take.
-  const ticks = setInterval(() => {
-    inPiece = 0;
+  // The timer stands for the node's other work. Calls are counted, not timed: on a machine that is
+  // short of processor time the test itself is delayed for longer than the calls take.
+  const otherWork = setInterval(() => {
+    consecutive = 0;
   }, 5);
-  for (let i = 0; i < LINKS; i += 1) starter.start(link, IDLE);
-  while (begun < LINKS) await delay(10, stopping.signal);
-  clearInterval(ticks);
-  assert.ok(longest * CALL_MS < MAX_HELD_UP_MS, `${longest} calls in one piece`);
+  for (let i = 0; i < LINKS; i += 1) starter.start(link, IDLE_WORKER);
+  while (started < LINKS) await delay(10, stopping.signal);
+  clearInterval(otherWork);
+  assert.ok(maxConsecutive * CALL_MS < MAX_BLOCKED_MS, `${maxConsecutive} calls without a break`);
 });
 
-test('after the end of its term a node begins no more links', async () => {
-  // A node that is replaced while it still calls workers for the first time has nothing to tell them.
+test('no more links are started after the end of the term', async () => {
+  // A leader that was replaced while it still calls workers for the first time has no orders for them.
   const stopping = new AbortController();
-  let begun = 0;
+  let started = 0;
   const link = {
     run: async () => {
-      begun += 1;
+      started += 1;
     },
   } as unknown as WorkerLink;
   const starter = new LinkStarter(stopping.signal, (err) => assert.fail(String(err)));
-  for (let i = 0; i < LINKS; i += 1) starter.start(link, IDLE);
+  for (let i = 0; i < LINKS; i += 1) starter.start(link, IDLE_WORKER);
   stopping.abort();
-  const before = begun;
+  const before = started;
   await delay(100, new AbortController().signal);
-  assert.equal(begun, before);
+  assert.equal(started, before);
 });
 
-test('a node that takes over reaches workers with lasting tasks first, then others that are busy', async () => {
-  // A small node takes many seconds for hundreds of workers. In the order of the list the leases of
-  // lasting tasks at its end are over before it has got there.
+test('links to workers with long-running tasks start first, then links to other busy workers', async () => {
+  // A small node needs many seconds for hundreds of workers. Guards against links in the order of the
+  // list: the leases of long-running tasks on its last workers would expire before they are renewed.
   const stopping = new AbortController();
-  const begun: string[] = [];
+  const started: string[] = [];
   const linkTo = (name: string): WorkerLink =>
-    ({ run: async () => begun.push(name) }) as unknown as WorkerLink;
+    ({ run: async () => started.push(name) }) as unknown as WorkerLink;
   const starter = new LinkStarter(stopping.signal, (err) => assert.fail(String(err)));
   for (let i = 0; i < LINKS; i += 1) {
-    starter.start(linkTo('idle'), IDLE);
-    starter.start(linkTo('busy'), occupied(false));
-    starter.start(linkTo('lasting'), occupied(true));
+    starter.start(linkTo('idle'), IDLE_WORKER);
+    starter.start(linkTo('busy'), busyWorker(false));
+    starter.start(linkTo('lasting'), busyWorker(true));
   }
-  while (begun.length < 3 * LINKS) await delay(10, stopping.signal);
-  assert.deepEqual(new Set(begun.slice(0, LINKS)), new Set(['lasting']));
-  assert.deepEqual(new Set(begun.slice(LINKS, 2 * LINKS)), new Set(['busy']));
+  while (started.length < 3 * LINKS) await delay(10, stopping.signal);
+  assert.deepEqual(new Set(started.slice(0, LINKS)), new Set(['lasting']));
+  assert.deepEqual(new Set(started.slice(LINKS, 2 * LINKS)), new Set(['busy']));
 });
 
-test('workers on which something runs are greeted before all others', async () => {
-  // A node takes over. One worker in three runs something, and those are spread over the list. In the
-  // order of the list the last of them is reached when nearly all others have been, and on a small
-  // node their leases are over by then.
+test('links to busy workers start before links to idle workers', async () => {
+  // One worker in three is busy, and the busy ones are spread over the list. Guards against links in
+  // the order of the list: the last busy worker would be reached after nearly all others, and on a
+  // small node its leases would have expired by then.
   const stopping = new AbortController();
-  const begun: boolean[] = [];
+  const started: boolean[] = [];
   const starter = new LinkStarter(stopping.signal, (err) => assert.fail(String(err)));
   for (let i = 0; i < LINKS; i += 1) {
     const isBusy = i % 3 === 0;
     const run = async (): Promise<void> => {
-      begun.push(isBusy);
+      started.push(isBusy);
     };
-    starter.start({ run } as unknown as WorkerLink, isBusy ? occupied(false) : IDLE);
+    starter.start({ run } as unknown as WorkerLink, isBusy ? busyWorker(false) : IDLE_WORKER);
   }
-  while (begun.length < LINKS) await delay(10, stopping.signal);
-  assert.equal(begun.lastIndexOf(true), begun.filter((isBusy) => isBusy).length - 1);
+  while (started.length < LINKS) await delay(10, stopping.signal);
+  assert.equal(started.lastIndexOf(true), started.filter((isBusy) => isBusy).length - 1);
 });
--- a/packages/runtime/src/test/many-stops_test.ts
+++ b/packages/runtime/src/test/many-stops_test.ts
@@ -7,7 +7,7 @@
 
 const STOPS = 200;
 
-/** What an order costs a slow node, in milliseconds. */
+/** Processor time that an order costs a slow node, in milliseconds. */
 const ORDER_MS = 3;
 
 function stops(): Order[] {
@@ -17,38 +17,39 @@
   });
 }
 
-/** Notes what is sent, and how many in one piece at most. */
-class Sent {
+/** Records the stops that are sent, and how many are sent without a break at most. */
+class SentStops {
   readonly stopping = new AbortController();
 
   readonly indexes: number[] = [];
 
-  longest = 0;
+  /** The most stops that were sent without a break. */
+  maxConsecutive = 0;
 
-  #inPiece = 0;
+  #consecutive = 0;
 
   readonly #time: VirtualTime;
 
-  readonly #beganMs: number;
+  readonly #startedMs: number;
 
   readonly #orderMs: () => number;
 
-  /** What sending has taken so far, in milliseconds. */
+  /** Processor time that sending has cost, in milliseconds. */
   spentMs = 0;
 
-  /** From the first order to the newest, in milliseconds. */
+  /** Time from the first order to the newest, in milliseconds. */
   tookMs = 0;
 
   constructor(context: TestContext, orderMs: () => number = () => ORDER_MS) {
     this.#time = new VirtualTime(context);
-    this.#beganMs = this.#time.nowMs;
+    this.#startedMs = this.#time.nowMs;
     this.#orderMs = orderMs;
     this.#otherWork();
   }
 
-  /** What the node does beside sending: due at any moment. */
+  /** Other work of the node, due every millisecond. */
   #otherWork(): void {
-    this.#inPiece = 0;
+    this.#consecutive = 0;
     if (!this.stopping.signal.aborted) setTimeout(() => this.#otherWork(), 1);
   }
 
@@ -56,10 +57,10 @@
     const orderMs = this.#orderMs();
     this.#time.block(orderMs);
     this.spentMs += orderMs;
-    this.tookMs = this.#time.nowMs - this.#beganMs;
+    this.tookMs = this.#time.nowMs - this.#startedMs;
     this.indexes.push(task.index);
-    this.#inPiece += 1;
-    this.longest = Math.max(this.longest, this.#inPiece);
+    this.#consecutive += 1;
+    this.maxConsecutive = Math.max(this.maxConsecutive, this.#consecutive);
   });
 
   async end(ms = 3 * STOPS * ORDER_MS): Promise<void> {
@@ -68,21 +69,21 @@
   }
 }
 
-test('stops leave the node time for its other work', async (t) => {
-  // A job with hundreds of tasks is cancelled, or a node takes over and finds as many that nobody asks
-  // for. Sent in one piece the stops keep a node with a third of a core from renewals and from its own
-  // record for over half a second.
-  const sent = new Sent(t);
+test('sending many stops leaves the node time for its other work', async (t) => {
+  // A job with hundreds of tasks is cancelled, or a new leader finds hundreds of runs that belong to no
+  // job. Guards against sending the stops without a break: it keeps a node with a third of a core from
+  // renewals and from writing its own record for over half a second.
+  const sent = new SentStops(t);
   sent.pacing.sendAtOnce(stops());
   await sent.end();
-  assert.ok(sent.longest <= 20, `${sent.longest} stops in one piece`);
+  assert.ok(sent.maxConsecutive <= 20, `${sent.maxConsecutive} stops without a break`);
   assert.equal(sent.indexes.length, STOPS);
 });
 
-test('a stop that waits to be sent is not sent a second time', async (t) => {
-  // A stop without effect falls due again after 1.2 s, as if it had been sent when it was decided on.
-  // Where sending takes longer, the same stops would wait twice and three times, and more each time.
-  const sent = new Sent(t);
+test('a stop that waits to be sent is not queued a second time', async (t) => {
+  // A stop without effect is due again 1.2 s after the decision, even if it is not sent yet. Guards
+  // against a queue that holds the same stops several times, and grows, where sending takes longer.
+  const sent = new SentStops(t);
   sent.pacing.sendAtOnce(stops());
   sent.pacing.sendAtOnce(stops());
   await sent.end();
@@ -90,21 +91,21 @@
   assert.ok(sent.indexes.length <= STOPS + 20, `${sent.indexes.length} stops`);
 });
 
-test('a node that gets little processor time sends stops for half of it', async (t) => {
-  // Guards against stops that come late for rests that grow beyond what the stops themselves took: a
-  // machine with much else to do makes each order of a node take 1 to 8 times as long.
+test('a node with little processor time spends half of it on sending stops', async (t) => {
+  // Guards against stops that are late because the pauses between them grow longer than the stops
+  // themselves took: on a busy machine each order of the node takes 1 to 8 times as long.
   for (let seed = 1; seed <= 5; seed += 1) {
     let state = seed;
     const slowMs = (): number => {
       state = (state * 48_271) % 2_147_483_647;
       return ORDER_MS * (1 + (state % 8));
     };
-    const sent = new Sent(t, slowMs);
+    const sent = new SentStops(t, slowMs);
     sent.pacing.sendAtOnce(stops());
     await sent.end(20 * STOPS * ORDER_MS);
     t.mock.restoreAll();
     assert.equal(sent.indexes.length, STOPS);
-    assert.ok(sent.longest <= 20, `${sent.longest} stops in one piece`);
+    assert.ok(sent.maxConsecutive <= 20, `${sent.maxConsecutive} stops without a break`);
     assert.ok(sent.tookMs <= 2.1 * sent.spentMs, `${sent.tookMs} ms for ${sent.spentMs} ms`);
   }
 });
--- a/packages/runtime/src/test/many-waiting_test.ts
+++ b/packages/runtime/src/test/many-waiting_test.ts
@@ -21,73 +21,73 @@
 
 const JOBS = 2_000;
 
-/** What a look at a worker takes on a node with a small part of a core, in milliseconds. */
-const LOOK_MS = 0.02;
+/** Time to check one worker on a node with a small part of a core, in milliseconds. */
+const CHECK_MS = 0.02;
 
-/** Looks that fill the time after which the others take a silent node for dead. */
-const DEAF_LOOKS = LEADER_SILENT_MS / LOOK_MS;
+/** Number of checks that fill the time after which a silent leader counts as dead. */
+const SILENCE_CHECKS = LEADER_SILENT_MS / CHECK_MS;
 
-/** How long the node schedules, in milliseconds. */
+/** Duration of the term, in milliseconds. */
 const TERM_MS = 3_000;
 
-/** Counts looks at workers, and takes the time of each. */
-class Looks {
+/** Counts the checks of workers, and blocks for the time of each. */
+class WorkerChecks {
   count = 0;
 
-  look(): void {
+  check(): void {
     this.count += 1;
-    for (const endMs = steadyMs() + LOOK_MS; steadyMs() < endMs;);
+    for (const endMs = steadyMs() + CHECK_MS; steadyMs() < endMs;);
   }
 }
 
-/** How many looks pass between two signs of life of one kind, at most. */
-class Signs {
-  readonly #looks: Looks;
+/** Measures how many checks happen between two signs of life of one kind, at most. */
+class SignsOfLife {
+  readonly #checks: WorkerChecks;
 
-  #newestAt = 0;
+  #newestCount = 0;
 
   #longestGap = 0;
 
-  constructor(looks: Looks) {
-    this.#looks = looks;
+  constructor(checks: WorkerChecks) {
+    this.#checks = checks;
   }
 
   get longestGap(): number {
-    return Math.max(this.#longestGap, this.#looks.count - this.#newestAt);
+    return Math.max(this.#longestGap, this.#checks.count - this.#newestCount);
   }
 
-  given(): void {
+  record(): void {
     this.#longestGap = this.longestGap;
-    this.#newestAt = this.#looks.count;
+    this.#newestCount = this.#checks.count;
   }
 }
 
 /** A log whose appends count as signs of life. */
-class CountedLog extends StaticLog {
-  readonly #signs: Signs;
+class CountingLog extends StaticLog {
+  readonly #signs: SignsOfLife;
 
-  constructor(signs: Signs) {
+  constructor(signs: SignsOfLife) {
     super();
     this.#signs = signs;
   }
 
   override async append(writes: readonly KeyedWrite[]): Promise<AppendResult> {
-    this.#signs.given();
+    this.#signs.record();
     return super.append(writes);
   }
 }
 
-/** Workers that run whatever they are told to, and answer after the wait that they are asked for. */
-class CountedWorkers extends HealthyWorkers {
-  readonly #renewals: Signs;
+/** Workers that run every task they are ordered to, and whose renewals count as signs of life. */
+class CountingWorkers extends HealthyWorkers {
+  readonly #renewals: SignsOfLife;
 
-  constructor(renewals: Signs) {
+  constructor(renewals: SignsOfLife) {
     super();
     this.#renewals = renewals;
   }
 
   override async renew(worker: WorkerAddress, req: RenewRequest): Promise<RenewResult> {
-    this.#renewals.given();
+    this.#renewals.record();
     return super.renew(worker, req);
   }
 
@@ -98,19 +98,19 @@
   }
 }
 
-/** A worker's entry; every look at the worker asks whether it is draining. */
-function countedEntry(id: string, looks: Looks): WorkerEntry {
+/** Returns the entry of a worker; each check of the worker reads whether it is draining. */
+function countingEntry(id: string, checks: WorkerChecks): WorkerEntry {
   return {
     ...WORKER_ENTRY,
     id,
     get draining() {
-      looks.look();
+      checks.check();
       return false;
     },
   };
 }
 
-/** Jobs of which a worker has room for one, and hardly two of which are alike. */
+/** Returns a job; a worker has capacity for one such job, and no two of them need the same. */
 function waitingJob(index: number): JobSpec {
   return {
     id: index.toString(16).padStart(16, '0'),
@@ -131,28 +131,31 @@
 }
 
 test('a scheduling node with little processor time gives signs of life while thousands of jobs wait', async () => {
-  // After a takeover 2,000 jobs wait and workers have room for 100. Looking at every worker for each
-  // job takes the node two seconds and more, in one piece: no lease is renewed and its own record is
-  // not written. Lasting tasks end with their leases, the others take the node for dead after 1.1 s,
-  // and its successor has more to do. Counted in looks at workers, which each take their time here,
-  // the node must do less between two records, and between two renewals, than fills that time.
-  const looks = new Looks();
-  const records = new Signs(looks);
-  const renewals = new Signs(looks);
-  const workers = new CountedWorkers(renewals);
+  // After a takeover 2,000 jobs wait, and the workers have capacity for 100. Guards against a leader that
+  // checks every worker for each job without a break: for two seconds and more it renews no lease and
+  // does not write its own record. Long-running tasks end with their leases, the leader counts as dead
+  // after 1.1 s, and its successor has more to do. The gaps between two records, and between two
+  // renewals, are measured in checks of workers, as each check takes the same time here.
+  const checks = new WorkerChecks();
+  const records = new SignsOfLife(checks);
+  const renewals = new SignsOfLife(checks);
+  const workers = new CountingWorkers(renewals);
   const ids = Array.from({ length: WORKERS }, (_, i) => `w${i}`);
   const port = platformPort({
-    workLog: new CountedLog(records),
+    workLog: new CountingLog(records),
     workerLog: new StaticLog(ids.map((key) => ({ key, value: 'x' }))),
     operatorLog: new StaticLog([{ key: 'config', value: 'x' }]),
     workers,
-    decodeWorker: ({ key }) => ({ value: countedEntry(key, looks) }),
+    decodeWorker: ({ key }) => ({ value: countingEntry(key, checks) }),
     decodeConfig: () => ({ value: CONFIG }),
   });
   const term = new RunningTerm(port, tableOfWaitingJobs());
   await pause(TERM_MS);
   await term.stop();
-  assert.ok(records.longestGap < DEAF_LOOKS, `${records.longestGap} looks between two records`);
-  assert.ok(renewals.longestGap < DEAF_LOOKS, `${renewals.longestGap} between two renewals`);
+  assert.ok(
+    records.longestGap < SILENCE_CHECKS,
+    `${records.longestGap} checks between two records`,
+  );
+  assert.ok(renewals.longestGap < SILENCE_CHECKS, `${renewals.longestGap} between two renewals`);
   assert.equal(workers.running.size, WORKERS);
 });
--- a/packages/runtime/src/test/new-term_test.ts
+++ b/packages/runtime/src/test/new-term_test.ts
@@ -17,16 +17,16 @@
 import { HealthyWorkers } from './healthy-workers.js';
 import { pause } from './wait.js';
 
-/** What a store that is a hundred times slower than usual takes for an append, in milliseconds. */
+/** Time of an append at a store that is a hundred times slower than usual, in milliseconds. */
 const APPEND_MS = 400;
 
-/** The same for the list of workers, whose first read times out once. */
+/** Time to load the list of workers, whose first read times out once, in milliseconds. */
 const LIST_MS = 1_000;
 
-/** The next renewal after a worker's first answer follows within this time, in milliseconds. */
-const PROMPT_MS = 300;
+/** Upper bound of the time from a worker's first answer to its next renewal, in milliseconds. */
+const MAX_RENEWAL_DELAY_MS = 300;
 
-/** A log of a slow store, with these records. */
+/** A log of a slow store, with a fixed set of records. */
 class SlowLog extends StaticLog {
   override async append(records: readonly KeyedWrite[]): Promise<AppendResult> {
     await pause(APPEND_MS);
@@ -39,13 +39,13 @@
   }
 }
 
-/** A worker that answers every renewal, after the wait that it is asked for. */
-class OneWorker extends HealthyWorkers {
-  /** When it has first answered. */
-  answeredMs = 0;
+/** A worker that answers every renewal after the wait it asks for, and runs the one task. */
+class ObservedWorker extends HealthyWorkers {
+  /** When it first answered, on the steady clock; 0 before that. */
+  firstAnswerMs = 0;
 
-  /** When it was first asked with a lease. */
-  leaseMs = 0;
+  /** When the first renewal with a lease arrived, on the steady clock; 0 before that. */
+  firstLeaseMs = 0;
 
   constructor() {
     super();
@@ -54,16 +54,16 @@
   }
 
   override async renew(worker: WorkerAddress, req: RenewRequest): Promise<RenewResult> {
-    if (req.deadlineMs !== undefined) this.leaseMs ||= steadyMs();
+    if (req.deadlineMs !== undefined) this.firstLeaseMs ||= steadyMs();
     const result = await super.renew(worker, req);
-    this.answeredMs ||= steadyMs();
+    this.firstAnswerMs ||= steadyMs();
     return result;
   }
 }
 
 const SETTINGS = nodeSettings('n1');
 
-/** What the work log says of a job whose one task runs on the worker. */
+/** Returns a table with a job whose one task runs on the worker. */
 function tableOfRunningJob(): WorkTable {
   const job = startedProgress();
   const [first] = job.occurrences.values();
@@ -74,12 +74,12 @@
   return table;
 }
 
-test('a new scheduling node renews the lease of a worker with its second call although the store is slow', async () => {
-  // A node takes over while the store is slow: the list of workers comes after a second, each append
-  // takes 400 ms. A worker that was not asked before the list came must not pass for silent: named
-  // as such in the node's record it gets no lease until two more records are stored, and with the
-  // leases that the node before has given all its work ends.
-  const workers = new OneWorker();
+test('a new leader renews the lease of a worker with its second call although the store is slow', async () => {
+  // A node becomes leader while the list of workers takes a second to load and each append 400 ms.
+  // Guards against counting a worker as silent that could not be called before the list was loaded:
+  // named as silent in the leader record it gets no lease until two more records are stored, and its
+  // tasks end with the leases that the previous leader granted.
+  const workers = new ObservedWorker();
   const log = new NodeLog('n1', 'silent');
   const port = platformPort({
     workLog: new SlowLog(),
@@ -105,7 +105,7 @@
   await pause(LIST_MS + 2_500);
   term.stop();
   await running;
-  assert.ok(workers.answeredMs > 0 && workers.leaseMs > 0);
-  const tookMs = workers.leaseMs - workers.answeredMs;
-  assert.ok(tookMs < PROMPT_MS, `${tookMs} ms`);
+  assert.ok(workers.firstAnswerMs > 0 && workers.firstLeaseMs > 0);
+  const tookMs = workers.firstLeaseMs - workers.firstAnswerMs;
+  assert.ok(tookMs < MAX_RENEWAL_DELAY_MS, `${tookMs} ms`);
 });
--- a/packages/runtime/src/test/node-log_test.ts
+++ b/packages/runtime/src/test/node-log_test.ts
@@ -5,7 +5,7 @@
 
 const LOG = path.join(import.meta.dirname, '..', 'node-log.js');
 
-/** Writes lines to a pipe that does not block, then says on standard error how long it took. */
+/** Writes lines to a non-blocking pipe, then prints the time taken and the dropped lines to stderr. */
 const WRITER = `
 import { NodeLog } from ${JSON.stringify(LOG)};
 process.stdout._handle?.setBlocking?.(false);
@@ -16,14 +16,15 @@
 setTimeout(() => {}, 1500);
 `;
 
+/** Runs the writer in a process of its own, and reads its lines after a while or never. */
 async function writeLines(count: number, isRead: boolean) {
   const child = spawn(process.execPath, ['--input-type=module', '-e', WRITER, String(count)]);
   let text = '';
-  let told = '';
+  let report = '';
   child.stderr.on('data', (data: Buffer) => {
-    told += data.toString();
+    report += data.toString();
   });
-  // Read late: by then the pipe is full and writes have been turned away.
+  // Reads only after 300 ms: by then the pipe is full and has rejected writes.
   setTimeout(() => {
     if (isRead) child.stdout.on('data', (data: Buffer) => (text += data.toString()));
   }, 300);
@@ -31,19 +32,19 @@
     child.once('exit', resolve);
     if (!isRead) setTimeout(() => child.kill('SIGKILL'), 1_200);
   });
-  const [ms = NaN, dropped = NaN] = told.split(' ').map(Number);
+  const [ms = NaN, dropped = NaN] = report.split(' ').map(Number);
   return { lines: text.split('\n').length - 1, ms, dropped };
 }
 
-test('lines that a full pipe turns away are written when it is read again', async () => {
-  // The reader is slow for a moment. Lines given up then would be missing from the story of a
-  // job, and nothing would say so.
+test('lines that a full pipe rejects are written once it is read again', async () => {
+  // Guards against dropping lines while the reader is slow for a moment: they would be missing from
+  // the history of a job without a trace.
   const { lines, dropped } = await writeLines(3_000, true);
   assert.equal(lines + dropped, 3_000);
   assert.equal(dropped, 0);
 });
 
-test('a reader that never reads costs dropped lines, not time', async () => {
+test('lines for a reader that never reads are dropped without blocking the process', async () => {
   const { ms, dropped } = await writeLines(20_000, false);
   assert.ok(ms < 2_000, `${ms} ms`);
   assert.ok(dropped > 0);
--- a/packages/runtime/src/test/order-sender_test.ts
+++ b/packages/runtime/src/test/order-sender_test.ts
@@ -7,11 +7,11 @@
 
 const STARTS = 200;
 
-/** What a start costs a slow node, in milliseconds. */
+/** Processor time that a start costs a slow node, in milliseconds. */
 const START_MS = 3;
 
-/** A start takes so much of the node's time together with what is left to its other work. */
-const TURN_MS = 3 * START_MS;
+/** Time of a start together with the time that is then left to other work, in milliseconds. */
+const START_WITH_REST_MS = 3 * START_MS;
 
 function busy(ms: number): void {
   const endMs = performance.now() + ms;
@@ -25,37 +25,41 @@
   });
 }
 
-test('starts leave the node time for its other work, and keep their order', async () => {
-  // A round of a node with a third of a core has bound hundreds of tasks. Sent in one piece the
-  // starts keep it for over half a second from renewals and from its own record. What else there is
-  // to do must have its turn after every few of them.
+test('sending many starts leaves the node time for its other work and keeps their order', async () => {
+  // One round of a node with a third of a core binds hundreds of tasks. Guards against sending the
+  // starts without a break: it keeps the node from renewals and from writing its own record for over
+  // half a second.
   const stopping = new AbortController();
   const sent: number[] = [];
-  let inPiece = 0;
-  let longest = 0;
+  let consecutive = 0;
+  let maxConsecutive = 0;
   const sender = new OrderSender(stopping.signal, ({ task }) => {
     busy(START_MS);
     sent.push(task.index);
-    inPiece += 1;
-    longest = Math.max(longest, inPiece);
+    consecutive += 1;
+    maxConsecutive = Math.max(maxConsecutive, consecutive);
   });
-  const other = setInterval(() => {
-    inPiece = 0;
+  const otherWork = setInterval(() => {
+    consecutive = 0;
   }, 1);
   sender.send(orders(STARTS));
   while (sent.length < STARTS) await delay(5, stopping.signal);
-  clearInterval(other);
-  assert.ok(longest <= 20, `${longest} starts in one piece`);
+  clearInterval(otherWork);
+  assert.ok(maxConsecutive <= 20, `${maxConsecutive} starts without a break`);
   assert.deepEqual(
     sent,
     orders(STARTS).map(({ task }) => task.index),
   );
-  // By now it knows how slow it is: what is urgent must not stand behind more than a second.
-  assert.ok(sender.room * TURN_MS < 1.5 * UNSENT_STARTS_MS, `room for ${sender.room}`);
+  // By now the sender has measured the cost of a start: urgent orders must not wait for more than about
+  // a second of starts.
+  assert.ok(
+    sender.room * START_WITH_REST_MS < 1.5 * UNSENT_STARTS_MS,
+    `capacity for ${sender.room}`,
+  );
 });
 
-test('starts are not sent any more once the term is over', async () => {
-  // The node that replaced this one may have started the same tasks elsewhere.
+test('no more starts are sent after the end of the term', async () => {
+  // Guards against running a task twice: the next leader may have started it elsewhere.
   const stopping = new AbortController();
   let sent = 0;
   const sender = new OrderSender(stopping.signal, () => {
--- a/packages/runtime/src/test/prefetched-log_test.ts
+++ b/packages/runtime/src/test/prefetched-log_test.ts
@@ -5,32 +5,32 @@
 import { StoreUnavailableError } from '../keyed-log.js';
 import { StaticLog } from './static-log.js';
 
-/** Counts the pages that are asked for, and fails the first if it is to. */
-class CountedLog extends StaticLog {
-  asked = 0;
+/** A log that counts the requests for pages, and fails the first one if `failsFirst` is set. */
+class CountingLog extends StaticLog {
+  requestCount = 0;
 
   failsFirst = false;
 
   override async newest(): Promise<NewestPage> {
-    this.asked += 1;
-    if (this.failsFirst && this.asked === 1) throw new StoreUnavailableError('timeout');
-    return { records: [], hasMore: false, end: this.asked };
+    this.requestCount += 1;
+    if (this.failsFirst && this.requestCount === 1) throw new StoreUnavailableError('timeout');
+    return { records: [], hasMore: false, end: this.requestCount };
   }
 }
 
-test('the first page is asked for at once and given out once', async () => {
-  // Guards against a new scheduling node that waits for a slow store before it knows any worker.
-  const source = new CountedLog();
+test('the first page is requested at once and returned only once', async () => {
+  // Guards against a new leader that waits for a slow store before it knows any worker.
+  const source = new CountingLog();
   const log = new PrefetchedLog(source);
-  assert.equal(source.asked, 1);
+  assert.equal(source.requestCount, 1);
   assert.equal((await log.newest('')).end, 1);
-  assert.equal(source.asked, 1);
-  // A view that is loaded anew must not begin with the page from before.
+  assert.equal(source.requestCount, 1);
+  // A view that is reloaded must not start from the prefetched page.
   assert.equal((await log.newest('')).end, 2);
 });
 
-test('a first page that could not be read is asked for again', async () => {
-  const source = new CountedLog();
+test('a first page that could not be read is requested again', async () => {
+  const source = new CountingLog();
   source.failsFirst = true;
   const log = new PrefetchedLog(source);
   await assert.rejects(log.newest(''), StoreUnavailableError);
--- a/packages/runtime/src/test/round-pacing_test.ts
+++ b/packages/runtime/src/test/round-pacing_test.ts
@@ -4,13 +4,13 @@
 import { steadyMs } from '../internal/delay.js';
 import { MAX_ROUND_REST_MS } from '../internal/timing.js';
 
-/** Timers may be a little early against the steady clock, in milliseconds. */
-const TIMER_MS = 2;
+/** How early timers may fire against the steady clock, in milliseconds. */
+const TIMER_SLACK_MS = 2;
 
-/** What the test itself may take, in milliseconds. */
-const SLACK_MS = 300;
+/** Time that the test itself may take, in milliseconds. */
+const TEST_OVERHEAD_MS = 300;
 
-/** A round of so many milliseconds; returns how long after it the next one may begin. */
+/** Simulates a round of the given length; returns how long after it the next one starts. */
 async function restAfter(roundMs: number): Promise<number> {
   const pacing = new RoundPacing(new AbortController().signal, () => {});
   pacing.worked(steadyMs() - roundMs);
@@ -20,15 +20,16 @@
   return steadyMs() - endedMs;
 }
 
-test('after a round the node has as long for its other work, whoever asks for the next one', async () => {
-  // Reports ask for a round all the time. Rounds that followed each other at once left a slow node
-  // time for some twenty of 440 workers a second, and the leases of the others ended.
-  assert.ok((await restAfter(80)) >= 80 - TIMER_MS);
-  assert.ok((await restAfter(200)) >= 200 - TIMER_MS);
+test('after a round the node has as much time for other work, even if another round is requested', async () => {
+  // Reports of workers request rounds all the time. Guards against rounds that follow each other at
+  // once: a slow node then has time for some 20 of 440 workers a second, and the leases of the
+  // others expire.
+  assert.ok((await restAfter(80)) >= 80 - TIMER_SLACK_MS);
+  assert.ok((await restAfter(200)) >= 200 - TIMER_SLACK_MS);
 });
 
-test('a very long round does not hold up the next one for as long', async () => {
-  // A node that stood still for seconds in its round has to write its own record at once.
+test('the pause after a very long round is limited', async () => {
+  // A node whose round took seconds must write its own record at once.
   const restMs = await restAfter(5_000);
-  assert.ok(restMs < MAX_ROUND_REST_MS + SLACK_MS, `${restMs} ms`);
+  assert.ok(restMs < MAX_ROUND_REST_MS + TEST_OVERHEAD_MS, `${restMs} ms`);
 });
--- a/packages/runtime/src/test/scheduling-metrics_test.ts
+++ b/packages/runtime/src/test/scheduling-metrics_test.ts
@@ -5,7 +5,7 @@
 
 const NODE_STATE = { isLeading: true, viewAgeMs: 0, jobs: new Map<string, number>(), faults: [] };
 
-test('waits are counted by what kept the tasks, stops and lost work by reason', async () => {
+test('waits are counted by what delayed the tasks, stops and lost work by reason', async () => {
   const log = new NodeLog('n1', 'silent');
   const metrics = new NodeMetrics(log, () => NODE_STATE);
   log.emit('info', 'bound', { task: 'a.0.0.0', run: 1, waitMs: 700, keptBy: 'slack' });
--- a/packages/runtime/src/test/slow-list_test.ts
+++ b/packages/runtime/src/test/slow-list_test.ts
@@ -13,10 +13,10 @@
 import { StaticLog } from './static-log.js';
 import { pause, waitUntil } from './wait.js';
 
-/** What each call to the store takes, in milliseconds. */
+/** Time of each call to the store, in milliseconds. */
 const CALL_MS = 600;
 
-/** A log in which nothing happens, at a store that takes its time for each call. */
+/** A log without new records, at a store that is slow for each call. */
 class SlowLog extends StaticLog {
   override async read(from: number, waitMs: number): Promise<ReadResult> {
     const sentMs = steadyMs();
@@ -31,9 +31,9 @@
 }
 
 test('tasks may begin at any time although each call to the store takes long', async (t) => {
-  // The store takes 0.6 s for a call. New work must go on beginning; with reads that waited a second at
-  // the store for news the list of workers grew too old for a start in a part of each of them, and jobs
-  // stood still for as long.
+  // The store takes 0.6 s for a call. Guards against reads that wait a second at the store for new
+  // records: during a part of each read the list of workers is then too old for starts, and jobs
+  // stall for that time.
   const log = new NodeLog('n1', 'silent');
   const port = platformPort({ workerLog: new SlowLog() });
   const timing = { leaseMs: 0, inheritedLeaseMs: 0, stallTimeoutMs: 0, stopRetryMs: 0 };
--- a/packages/runtime/src/test/slow-reads_test.ts
+++ b/packages/runtime/src/test/slow-reads_test.ts
@@ -11,15 +11,15 @@
 import { leaderRecord } from './leader-record.js';
 import { pause } from './wait.js';
 
-/** What a call to the store takes each way, in milliseconds. */
-const WAY_MS = 150;
+/** Latency of a call to the store, and again of its answer, in milliseconds. */
+const ONE_WAY_MS = 150;
 
-/** How long the node is watched, in milliseconds. */
-const WATCHED_MS = 5_000;
+/** How long the node is observed, in milliseconds. */
+const OBSERVED_MS = 5_000;
 
-/** A log of a store that is slow, and sound. */
+/** A log of a store that is slow but healthy. */
 class SlowLog extends KeyedLog {
-  /** Nothing is answered any more, so that the followers come to rest. */
+  /** Whether new reads are left without an answer, so that the followers stop. */
   static isOver = false;
 
   readonly #records: KeyedRecord[];
@@ -30,21 +30,21 @@
   }
 
   override async append(): Promise<AppendResult> {
-    await pause(2 * WAY_MS);
+    await pause(2 * ONE_WAY_MS);
     return { outcome: 'refused', reason: 'busy' };
   }
 
   override async read(from: number, waitMs: number): Promise<ReadResult> {
     const sentMs = steadyMs();
     while (SlowLog.isOver) await new Promise(() => {});
-    await pause(WAY_MS);
+    await pause(ONE_WAY_MS);
     await pause(waitMs);
-    await pause(WAY_MS);
+    await pause(ONE_WAY_MS);
     return { records: [], next: from, end: from, asOfMs: sentMs + waitMs };
   }
 
   override async newest(): Promise<NewestPage> {
-    await pause(2 * WAY_MS);
+    await pause(2 * ONE_WAY_MS);
     return { records: this.#records, hasMore: false, end: 0 };
   }
 }
@@ -52,9 +52,9 @@
 const LEADER = encodeLeader(leaderRecord({ epoch: 1, node: 'n2', nonce: '1' }));
 
 test('a node stays ready while each call to the store takes 0.3 s', async () => {
-  // The store is slow, and answers. A node that pauses after each answer as long as ever has a view
-  // that is over 1.5 s old before the next answer comes; it says that it is not ready, each second or
-  // so, and callers are sent elsewhere, where it is the same.
+  // Guards against a node that makes the usual pause after each answer of a slow store: its view is
+  // over 1.5 s old before the next answer arrives, and the node reports every second or so that it is
+  // not ready. Callers are then sent to other nodes, which have the same problem.
   const port: PlatformPort = {
     workLog: new SlowLog([{ key: leaderKey(), value: LEADER }]),
     jobLog: new SlowLog(),
@@ -71,7 +71,7 @@
   node.start();
   while (!node.isReady) await pause(5);
   let unreadyMs = 0;
-  for (const endMs = steadyMs() + WATCHED_MS; steadyMs() < endMs;) {
+  for (const endMs = steadyMs() + OBSERVED_MS; steadyMs() < endMs;) {
     const sinceMs = steadyMs();
     await pause(5);
     if (!node.isReady) unreadyMs += steadyMs() - sinceMs;
