--- a/packages/runtime/src/test/job-service_test.ts
+++ b/packages/runtime/src/test/job-service_test.ts
@@ -85,6 +85,7 @@
   }
 }
 
+/** Waits until the promises that can resolve now have done so. */
 function nextEventLoopTurn(): Promise<void> {
   return new Promise((resolve) => {
     setImmediate(resolve);
--- a/packages/runtime/src/test/keyed-follower_test.ts
+++ b/packages/runtime/src/test/keyed-follower_test.ts
@@ -31,10 +31,11 @@
   }
 }
 
-test('the log events of losing and regaining the store state the age of the view', async () => {
-  // Guards against a log from which an operator cannot tell by how old a view a node answered its
-  // callers, and so which records it could know. The store cannot be read for 600 ms here. The first
-  // reads after that must not wait at the store for records: the view would stay old for as long.
+test('the events log-lost and log-regained give the age of the view', async () => {
+  // An operator who examines the complaint of a caller must see in the node's log how old the view was
+  // from which the node answered, and so which records it could know. The store cannot be read for
+  // 600 ms here. The first reads after that must not wait at the store for records: the view would
+  // stay old for as long.
   const logged = new Map<string, LogFields>();
   const log = new NodeLog('n1', 'silent');
   log.observe((event, fields) => logged.set(event, fields));
--- a/packages/runtime/src/test/leader-term_test.ts
+++ b/packages/runtime/src/test/leader-term_test.ts
@@ -78,7 +78,7 @@
 });
 
 /** A log that accepts appends, but the first one times out without an answer. */
-class FirstAnswerLost extends StaticLog {
+class FirstAnswerLostLog extends StaticLog {
   #isFirst = true;
 
   override async append(records: readonly KeyedWrite[]): Promise<AppendResult> {
@@ -94,14 +94,14 @@
   // Guards against counting from the repeat: the leader would grant leases that last longer than the
   // others, which count from what they read, wait before they start its tasks elsewhere.
   const claim = { epoch: 1, sequence: 7, sentMs: steadyMs() };
-  const writer = new LeaderWriter(new FirstAnswerLost(), LOG, claim);
+  const writer = new LeaderWriter(new FirstAnswerLostLog(), LOG, claim);
   const sentMs = steadyMs();
   assert.ok(await writer.write([{ key: leaderKey(), value: 'x' }]));
   assert.ok(writer.confirmedMs - sentMs < 100, `${writer.confirmedMs - sentMs} ms`);
 });
 
 /** A log that accepts appends, never answers the first, and records their sequence numbers. */
-class NeverAnswered extends StaticLog {
+class FirstNeverAnsweredLog extends StaticLog {
   readonly sequences: number[] = [];
 
   override async append(
@@ -117,7 +117,7 @@
 test('the next append does not wait for the answer to an append that was read back', async () => {
   // The store applies appends, but its answers are lost. Guards against a leader that writes nothing
   // while it waits for an answer: after some seconds it can renew no lease, and all running tasks end.
-  const log = new NeverAnswered();
+  const log = new FirstNeverAnsweredLog();
   const writer = new LeaderWriter(log, LOG, { epoch: 1, sequence: 7, sentMs: -Infinity });
   const records = [{ key: leaderKey(), value: 'x' }];
   const sentMs = steadyMs();
@@ -135,7 +135,7 @@
 test('reading back an earlier append late does not confirm the next append', async () => {
   // The record of an answered append is read back after the answer. Guards against that ending the
   // wait for the next append: its starts would be sent before they are stored.
-  const log = new NeverAnswered();
+  const log = new FirstNeverAnsweredLog();
   log.sequences.push(7);
   const writer = new LeaderWriter(log, LOG, { epoch: 1, sequence: 7, sentMs: -Infinity });
   const records = [{ key: leaderKey(), value: 'x' }];
--- a/packages/runtime/src/test/lease-bounds_test.ts
+++ b/packages/runtime/src/test/lease-bounds_test.ts
@@ -67,7 +67,7 @@
 }
 
 /** A store, workers, and successive leaders, which may not know yet that they are replaced. */
-class World {
+class Simulation {
   #nowMs = 10_000;
 
   readonly #workers = new Map<string, Worker>(
@@ -85,6 +85,7 @@
     former: new FormerLeases(`n${i}`, 10_000),
   }));
 
+  /** Performs one step; `a` and `b` choose whom it concerns and how it goes. */
   run(kind: string, a: number, b: number): void {
     const term = this.#terms[a % Math.max(1, this.#terms.length)];
     const worker = WORKERS[b % WORKERS.length]!;
@@ -160,9 +161,9 @@
       return;
     }
     if (!term.pending) {
-      const isNews = term.leases.noteSilent(term.silentWorkers(), b !== 1);
+      const hasChanged = term.leases.noteSilent(term.silentWorkers(), b !== 1);
       const resigns = b > 7;
-      const isRecord = isNews || resigns || b === 0;
+      const isRecord = hasChanged || resigns || b === 0;
       const rec = isRecord ? term.leases.record(resigns, this.#nowMs) : undefined;
       this.#log.push(rec);
       Object.assign(term, { pending: { rec, sentMs: this.#nowMs } });
@@ -200,8 +201,8 @@
   #check(id: string, { token, leaseEndMs }: Worker): void {
     for (const later of this.#terms) {
       if (!later.isOver && later.epoch > token && !later.reached.has(id)) {
-        const takenMs = later.endsMs.get(id)!;
-        assert.ok(takenMs >= leaseEndMs, `${id}: ${takenMs} before ${leaseEndMs}`);
+        const assumedEndMs = later.endsMs.get(id)!;
+        assert.ok(assumedEndMs >= leaseEndMs, `${id}: ${assumedEndMs} before ${leaseEndMs}`);
       }
     }
   }
@@ -211,7 +212,7 @@
 const MAX_STEPS = 60;
 
 /** Number of generated cases, which take about a second. */
-const RUNS = 5_000;
+const CASES = 5_000;
 
 /** The kinds of steps; a kind that is listed several times is drawn more often. */
 const KINDS = [
@@ -228,10 +229,10 @@
   // twice.
   fc.assert(
     fc.property(fc.array(STEP, { maxLength: MAX_STEPS, size: 'max' }), (steps) => {
-      const world = new World();
-      for (const [kind, a, b] of steps) world.run(kind, a, b);
+      const simulation = new Simulation();
+      for (const [kind, a, b] of steps) simulation.run(kind, a, b);
     }),
-    { numRuns: Number(process.env.LEASE_RUNS ?? RUNS) },
+    { numRuns: Number(process.env.LEASE_RUNS ?? CASES) },
   );
 });
 
--- a/packages/runtime/src/test/link-starter_test.ts
+++ b/packages/runtime/src/test/link-starter_test.ts
@@ -14,6 +14,7 @@
 /** A fifth of the silence after which a leader is replaced, in milliseconds. */
 const MAX_BLOCKED_MS = 220;
 
+/** A worker on which nothing runs. */
 const IDLE_WORKER: Pick<WorkerState, 'runs'> = { runs: new Map() };
 
 /** Returns a worker on which one task runs. */
--- a/packages/runtime/src/test/many-stops_test.ts
+++ b/packages/runtime/src/test/many-stops_test.ts
@@ -10,6 +10,7 @@
 /** Processor time that an order costs a slow node, in milliseconds. */
 const ORDER_MS = 3;
 
+/** Returns orders to stop one run of each of many tasks. */
 function stops(): Order[] {
   return Array.from({ length: STOPS }, (_, index) => {
     const task = { jobId: '00000000000000aa', occurrence: 0, step: 0, index };
@@ -63,6 +64,7 @@
     this.maxConsecutive = Math.max(this.maxConsecutive, this.#consecutive);
   });
 
+  /** Lets the given time pass, then ends the term. */
   async end(ms = 3 * STOPS * ORDER_MS): Promise<void> {
     await this.#time.advance(ms);
     this.stopping.abort();
--- a/packages/runtime/src/test/many-waiting_test.ts
+++ b/packages/runtime/src/test/many-waiting_test.ts
@@ -110,7 +110,7 @@
   };
 }
 
-/** Returns a job; a worker has capacity for one such job, and no two of them need the same. */
+/** Returns a job; a worker has capacity for one such job, and no two request the same processor time. */
 function waitingJob(index: number): JobSpec {
   return {
     id: index.toString(16).padStart(16, '0'),
--- a/packages/runtime/src/test/order-sender_test.ts
+++ b/packages/runtime/src/test/order-sender_test.ts
@@ -13,7 +13,8 @@
 /** Time of a start together with the time that is then left to other work, in milliseconds. */
 const START_WITH_REST_MS = 3 * START_MS;
 
-function busy(ms: number): void {
+/** Blocks the event loop for the given time, in milliseconds. */
+function blockEventLoop(ms: number): void {
   const endMs = performance.now() + ms;
   while (performance.now() < endMs);
 }
@@ -34,7 +35,7 @@
   let consecutive = 0;
   let maxConsecutive = 0;
   const sender = new OrderSender(stopping.signal, ({ task }) => {
-    busy(START_MS);
+    blockEventLoop(START_MS);
     sent.push(task.index);
     consecutive += 1;
     maxConsecutive = Math.max(maxConsecutive, consecutive);
--- a/packages/runtime/src/test/round-pacing_test.ts
+++ b/packages/runtime/src/test/round-pacing_test.ts
@@ -11,7 +11,7 @@
 const TEST_OVERHEAD_MS = 300;
 
 /** Simulates a round of the given length; returns how long after it the next one starts. */
-async function restAfter(roundMs: number): Promise<number> {
+async function pauseAfterRound(roundMs: number): Promise<number> {
   const pacing = new RoundPacing(new AbortController().signal, () => {});
   pacing.worked(steadyMs() - roundMs);
   const endedMs = steadyMs();
@@ -24,12 +24,12 @@
   // Reports of workers request rounds all the time. Guards against rounds that follow each other at
   // once: a slow node then has time for some 20 of 440 workers a second, and the leases of the
   // others expire.
-  assert.ok((await restAfter(80)) >= 80 - TIMER_SLACK_MS);
-  assert.ok((await restAfter(200)) >= 200 - TIMER_SLACK_MS);
+  assert.ok((await pauseAfterRound(80)) >= 80 - TIMER_SLACK_MS);
+  assert.ok((await pauseAfterRound(200)) >= 200 - TIMER_SLACK_MS);
 });
 
 test('the pause after a very long round is limited', async () => {
   // A node whose round took seconds must write its own record at once.
-  const restMs = await restAfter(5_000);
+  const restMs = await pauseAfterRound(5_000);
   assert.ok(restMs < MAX_ROUND_REST_MS + TEST_OVERHEAD_MS, `${restMs} ms`);
 });
--- a/packages/runtime/src/test/sized-takeover_test.ts
+++ b/packages/runtime/src/test/sized-takeover_test.ts
@@ -110,13 +110,13 @@
 }
 
 test('a large node replaces a dead leader while large nodes are alive', async (t) => {
-  const tally = await takeovers(t, async (fleet, count) => {
+  const tally = await takeovers(t, async (fleet, outcomes) => {
     // The leader starts before all others, so that they know of a large leader.
     fleet.add('first', LARGE);
     await fleet.time.advanceUntil(() => fleet.leader !== undefined, 5_000);
     await fleet.addMany(sizes(3, 9));
     await fleet.time.advance(2_000 + fleet.time.randomInt(500));
-    await replaceDeadLeader(fleet, count);
+    await replaceDeadLeader(fleet, outcomes);
   });
   assert.equal(tally.bySmallOrNone, 0);
   assert.ok(tally.maxTookMs <= TAKEOVER_MS, `${tally.maxTookMs}`);
@@ -126,14 +126,14 @@
   // With such a store each view is older than 0.9 s before the next answer arrives. Guards against
   // taking that for a silence of the store, which restarts the count of the leader's silence each time:
   // no node would ever claim.
-  const tally = await takeovers(t, async (fleet, count) => {
+  const tally = await takeovers(t, async (fleet, outcomes) => {
     fleet.add('first', LARGE);
     await fleet.time.advanceUntil(() => fleet.leader !== undefined, 5_000);
     await fleet.addMany(sizes(3, 9));
     fleet.store.oneWayMs = 150;
     await fleet.time.advance(6_000 + fleet.time.randomInt(500));
     assert.equal(fleet.leader?.name, 'first');
-    await replaceDeadLeader(fleet, count);
+    await replaceDeadLeader(fleet, outcomes);
   });
   assert.ok(tally.maxTookMs <= SLOW_STORE_TAKEOVER_MS, `${tally.maxTookMs}`);
 });
@@ -141,36 +141,36 @@
 test('a leader is replaced before its leases expire while the store takes 0.6 s for each call', async (t) => {
   // Guards against leases of six seconds that expire while another node repeats its reads until it
   // counts the leader as dead. After a power loss no closed connection shows that the leader has ended.
-  const tally = await takeovers(t, async (fleet, count) => {
+  const tally = await takeovers(t, async (fleet, outcomes) => {
     fleet.add('first', LARGE);
     await fleet.time.advanceUntil(() => fleet.leader !== undefined, 5_000);
     await fleet.addMany(sizes(3, 9));
     fleet.store.oneWayMs = 300;
     await fleet.time.advance(10_000 + fleet.time.randomInt(1_000));
     assert.equal(fleet.leader?.name, 'first');
-    await replaceDeadLeader(fleet, count);
+    await replaceDeadLeader(fleet, outcomes);
   });
   assert.ok(tally.maxTookMs <= VERY_SLOW_STORE_TAKEOVER_MS, `${tally.maxTookMs}`);
 });
 
-test('a small node takes over hardly later where only small nodes are alive', async (t) => {
-  const tally = await takeovers(t, async (fleet, count) => {
+test('a small node takes over almost as fast where only small nodes are alive', async (t) => {
+  const tally = await takeovers(t, async (fleet, outcomes) => {
     fleet.add('first', LARGE);
     await fleet.time.advanceUntil(() => fleet.leader !== undefined, 5_000);
     await fleet.addMany(sizes(0, 9));
     await fleet.time.advance(2_000 + fleet.time.randomInt(500));
-    await replaceDeadLeader(fleet, count);
+    await replaceDeadLeader(fleet, outcomes);
   });
   assert.ok(tally.maxTookMs <= SMALL_TAKEOVER_MS, `${tally.maxTookMs}`);
 });
 
 test('a large node becomes leader when all nodes start and when a small leader restarts', async (t) => {
-  const tally = await takeovers(t, async (fleet, count) => {
+  const tally = await takeovers(t, async (fleet, outcomes) => {
     const { time, store } = fleet;
     await fleet.addMany(sizes(3, 9));
     await time.advanceUntil(() => fleet.leader !== undefined, 5_000);
     await time.advance(300);
-    count.add(fleet.leader, 0, store.claimCount);
+    outcomes.add(fleet.leader, 0, store.claimCount);
     // A small node became leader while no large one was alive, dies, and restarts at once.
     const epoch = store.leader!.epoch + 1;
     const restarted = fleet.nodes.find(({ cores }) => cores === SMALL)!;
@@ -186,13 +186,13 @@
     const sinceMs = time.nowMs;
     fleet.add(restarted.name, SMALL);
     await time.advanceUntil(() => fleet.leader !== undefined, POWER_RESTORED_MS);
-    count.add(fleet.leader, time.nowMs - sinceMs, store.claimCount);
+    outcomes.add(fleet.leader, time.nowMs - sinceMs, store.claimCount);
   });
   assert.equal(tally.bySmallOrNone, 0);
 });
 
 test('a node becomes leader in time after all nodes, all of them small, lost power', async (t) => {
-  const tally = await takeovers(t, async (fleet, count) => {
+  const tally = await takeovers(t, async (fleet, outcomes) => {
     const { time, store } = fleet;
     const rec = {
       ...{ epoch: 1, node: 'n0', nonce: 'b', resigned: false, leasesMs: 6_000, formerMs: 0 },
@@ -202,13 +202,13 @@
     const sinceMs = time.nowMs;
     await fleet.addMany(sizes(0, 9));
     await time.advanceUntil(() => fleet.leader !== undefined, 10_000);
-    count.add(fleet.leader, time.nowMs - sinceMs, store.claimCount);
+    outcomes.add(fleet.leader, time.nowMs - sinceMs, store.claimCount);
   });
   assert.ok(tally.maxTookMs <= POWER_RESTORED_MS, `${tally.maxTookMs}`);
 });
 
 test('a small leader hands over to a large node that started later', async (t) => {
-  const tally = await takeovers(t, async (fleet, count) => {
+  const tally = await takeovers(t, async (fleet, outcomes) => {
     const { time, store } = fleet;
     await fleet.addMany(sizes(0, 4));
     await time.advanceUntil(() => fleet.leader !== undefined, 5_000);
@@ -219,7 +219,7 @@
     await time.advanceUntil(() => fleet.leader?.cores === LARGE, 30_000);
     const tookMs = time.nowMs - sinceMs;
     await time.advance(5_000);
-    count.add(fleet.leader, tookMs, store.claimCount);
+    outcomes.add(fleet.leader, tookMs, store.claimCount);
   });
   assert.equal(tally.bySmallOrNone, 0);
 });
--- a/packages/runtime/src/test/stale-views_test.ts
+++ b/packages/runtime/src/test/stale-views_test.ts
@@ -45,22 +45,22 @@
   }
 }
 
-/** A view of the callers' jobs that is up to date unless a test freezes its age. */
+/** A view of the callers' jobs that is up to date unless a test holds it. */
 class JobsView {
-  #frozenMs: number | undefined;
+  #heldMs: number | undefined;
 
   get jobsFreshMs(): number {
-    return this.#frozenMs ?? steadyMs();
+    return this.#heldMs ?? steadyMs();
   }
 
   /** From now on the view is as old as if nothing more were read. */
   hold(): void {
-    this.#frozenMs = steadyMs();
+    this.#heldMs = steadyMs();
   }
 
   /** The view is up to date again. */
   release(): void {
-    this.#frozenMs = undefined;
+    this.#heldMs = undefined;
   }
 }
 
@@ -119,7 +119,7 @@
   await term.stop();
 });
 
-test('no task starts on a worker long after its departure was stored, even if the leader cannot read that', async () => {
+test('no task starts on a worker long after it announced its departure, even if the leader cannot read that', async () => {
   // A worker announces its departure while the leader's appends succeed and its reads of the workers'
   // entries get no answer. Guards against a leader that ignores the age of its list: it starts tasks of
   // new jobs on that worker until the reads are answered, and they are lost with the worker. Such a
@@ -139,9 +139,9 @@
   // Guards against the same failure with the callers' log: another node confirms a cancel to its caller,
   // the leader cannot read it, and starts the next tasks of the job seconds later.
   jobs.hold();
-  const frozenMs = steadyMs();
+  const heldMs = steadyMs();
   await pause(CANCEL_MS + 1_000);
-  const lateMs = latestStartMs('w1') - (frozenMs + CANCEL_MS);
+  const lateMs = latestStartMs('w1') - (heldMs + CANCEL_MS);
   assert.ok(lateMs < 0, `a start may take effect ${lateMs} ms too late`);
   const before = workers.starts.length;
   jobs.release();
--- a/packages/runtime/src/test/term-load_test.ts
+++ b/packages/runtime/src/test/term-load_test.ts
@@ -29,43 +29,43 @@
   });
 }
 
-/** Blocks the event loop for the given time. */
-function busy(ms: number): void {
+/** Blocks the event loop for the given time, in milliseconds. */
+function blockEventLoop(ms: number): void {
   const endMs = performance.now() + ms;
   while (performance.now() < endMs);
 }
 
-test('the load event states how many log lines were dropped', async (t) => {
+test('the term-load event states how many log lines were dropped', async (t) => {
   // A node writes 300 lines a second to a reader that takes 60. Lines arrive nine seconds late, then some
   // are dropped. Guards against mistaking late or missing lines for an unresponsive node.
   const log = new NodeLog('n1', 'silent');
   t.mock.getter(log, 'dropped', () => 5);
   const stopping = new AbortController();
   const load = new TermLoad(log, 4);
-  const logged = new Promise<LogFields>((resolve) => {
+  const loggedFields = new Promise<LogFields>((resolve) => {
     log.observe((event, fields) => event === 'term-load' && resolve(fields));
   });
   const running = load.run(() => VIEW, stopping.signal);
-  assert.equal((await logged).droppedLines, 5);
+  assert.equal((await loggedFields).droppedLines, 5);
   stopping.abort();
   await running;
 });
 
-test('the load event and the metrics state long rounds and slow appends', async () => {
+test('the term-load event and the metrics state long rounds and slow appends', async () => {
   // Leases expire on hundreds of workers because the leader spent over a second on one round, and its
   // store was slow as well. Guards against a log in which an operator cannot see both causes.
   const log = new NodeLog('n1', 'silent');
   const metrics = new NodeMetrics(log, () => STATE);
   const stopping = new AbortController();
   const load = new TermLoad(log, 4);
-  const logged = nextLoad(log);
+  const loggedFields = nextLoad(log);
   const running = load.run(() => VIEW, stopping.signal);
   load.appendSent();
-  busy(1_300);
+  blockEventLoop(1_300);
   load.decided(1_300);
   load.decided(5);
   load.reported();
-  const fields = await logged;
+  const fields = await loggedFields;
   stopping.abort();
   await running;
   const { rounds, longestDecideMs, reports, epoch, unreached, quietMs, leaseLeftMs } = fields;
@@ -88,18 +88,18 @@
   assert.match(await metrics.text(), /redwingcrank_scheduler_longest_round_seconds 0\n/);
 });
 
-test('the load event and the metrics state the oldest views and the longest wait of the starts', async () => {
+test('the term-load event and the metrics state the oldest views and the longest wait of the starts', async () => {
   // A task started on a worker that had announced its departure long before. Guards against a log in
   // which an operator cannot tell whether the start had waited or the list of workers was outdated.
   const log = new NodeLog('n1', 'silent');
   const metrics = new NodeMetrics(log, () => STATE);
   const stopping = new AbortController();
   const load = new TermLoad(log, 4);
-  const logged = nextLoad(log);
+  const loggedFields = nextLoad(log);
   const running = load.run(() => VIEW, stopping.signal);
   load.startSent({ workersAgeMs: 1_400, jobsAgeMs: 20 }, 30);
   load.startSent({ workersAgeMs: 200, jobsAgeMs: 600 }, 2_800.4);
-  const { starts, workersAgeMs, jobsAgeMs, startWaitMs } = await logged;
+  const { starts, workersAgeMs, jobsAgeMs, startWaitMs } = await loggedFields;
   stopping.abort();
   await running;
   assert.deepEqual(
--- a/packages/runtime/src/test/unread-jobs_test.ts
+++ b/packages/runtime/src/test/unread-jobs_test.ts
@@ -20,7 +20,7 @@
 
 /** A log in memory that can become unreadable because records have expired. */
 class UnreadableLog extends MemoryLog {
-  /** Whether reads fail as records have expired. */
+  /** Whether reads fail because records have expired. */
   isExpired = false;
 
   override async read(from: number, waitMs: number): Promise<ReadResult> {
--- a/packages/runtime/src/test/virtual-fleet.ts
+++ b/packages/runtime/src/test/virtual-fleet.ts
@@ -355,6 +355,7 @@
     }
   }
 
+  /** The node that is leader at present. */
   get leader(): VirtualNode | undefined {
     return this.nodes.find(({ isLeading }) => isLeading);
   }
--- a/packages/runtime/src/test/virtual-peers.ts
+++ b/packages/runtime/src/test/virtual-peers.ts
@@ -67,6 +67,7 @@
 
   readonly #links = new Set<VirtualLink>();
 
+  /** The outcome of attempts of other processes to connect to this one. */
   reachability: PeerReachability = 'reachable';
 
   constructor(network: VirtualNetwork, node: string, cores: number) {
--- a/packages/runtime/src/test/worker-link_test.ts
+++ b/packages/runtime/src/test/worker-link_test.ts
@@ -12,14 +12,14 @@
 
 /** A worker that answers at once until its process has ended. */
 class FailingWorker extends TaskWorkers {
-  isGone = false;
+  hasEnded = false;
 
   readonly renewals: RenewRequest[] = [];
 
   override async renew(_worker: unknown, req: RenewRequest): Promise<RenewResult> {
     this.renewals.push(req);
     await delay(10, new AbortController().signal);
-    if (this.isGone) return { outcome: 'unknown', reason: 'ECONNREFUSED' };
+    if (this.hasEnded) return { outcome: 'unknown', reason: 'ECONNREFUSED' };
     return { outcome: 'done', report: { clockMs: performance.now(), running: [], ended: [] } };
   }
 
@@ -64,7 +64,7 @@
   );
   const running = link.run();
   await delay(100, new AbortController().signal);
-  workers.isGone = true;
+  workers.hasEnded = true;
   const before = workers.renewals.length;
   await delay(1_000, new AbortController().signal);
   link.stop();
