--- a/packages/jobs/src/internal/report-reader.ts
+++ b/packages/jobs/src/internal/report-reader.ts
@@ -184,7 +184,7 @@
         from: run.pace,
         to: percent,
       });
-      Object.assign(run, { pace: percent, movedMs: nowMs });
+      Object.assign(run, { pace: percent, progressedMs: nowMs });
       Object.assign(worker, { paceChangedMs: nowMs });
       this.#state.orders.push({
         kind: 'pace',
