--- a/packages/runtime/src/cluster-config.ts
+++ b/packages/runtime/src/cluster-config.ts
@@ -1,18 +1,18 @@
 import type { QueuePolicy } from '@redwingcrank/jobs';
 
-/** A queue as callers reach it. */
+/** A queue and the route by which callers reach it. */
 export interface QueueRoute extends QueuePolicy {
   readonly host: string;
   readonly pathPrefix: string;
-  /** The operators' time limit for one call, in milliseconds. */
+  /** The operators' timeout for one call, in milliseconds. */
   readonly timeoutMs: number;
 }
 
-/** The operators' configuration, the parts that this system acts on. */
+/** The part of the operators' configuration that this system uses. */
 export interface ClusterConfig {
   readonly version: number;
   readonly queues: readonly QueueRoute[];
-  /** Every pool of workers that the operators name. */
+  /** The names of all configured pools of workers. */
   readonly pools: ReadonlySet<string>;
   readonly maxBodyBytes: number;
 }
--- a/packages/runtime/src/internal/append-batcher.ts
+++ b/packages/runtime/src/internal/append-batcher.ts
@@ -1,28 +1,30 @@
 import type { AppendResult, KeyedLog, KeyedWrite } from '../keyed-log.js';
 
-interface Waiting {
+interface QueuedAppend {
   readonly rec: KeyedWrite;
   readonly settle: (result: AppendResult) => void;
 }
 
-/** A record that was handed in to be appended. */
+/** A record that was queued to be appended. */
 export interface BatchedAppend {
   readonly result: Promise<AppendResult>;
-  /** Takes the record back; false where it has been sent, or was taken back before. */
+  /** Withdraws the record; returns false if it has been sent or was withdrawn before. */
   withdraw(): boolean;
 }
 
-/** Records in one append at most: more would hold up the first of them. */
+/**
+ * Maximum number of records in one append: larger batches would delay the first of their records.
+ */
 const MAX_BATCH = 200;
 
 /**
- * Appends records of callers' requests, several at a time while an append is under way: the store
- * takes one append of a partition after another, so many small ones would queue.
+ * Appends records of callers' requests, batching those that arrive while an append is in flight:
+ * the store processes the appends of a partition one after another, so many small ones would queue.
  */
 export class AppendBatcher {
   readonly #target: KeyedLog;
 
-  readonly #waiting = new Set<Waiting>();
+  readonly #waiting = new Set<QueuedAppend>();
 
   #isBusy = false;
 
--- a/packages/runtime/src/internal/term-dependencies.ts
+++ b/packages/runtime/src/internal/term-dependencies.ts
@@ -7,16 +7,16 @@
 import type { WorkFollower } from './work-follower.js';
 import type { WorkTable } from './work-table.js';
 
-/** What a term works with: the node that it is of, and what that knows. */
+/** The dependencies of a term: the node that it runs on and the state of that node. */
 export interface TermDependencies {
   readonly port: PlatformPort;
   readonly settings: NodeSettings;
   readonly log: NodeLog;
   readonly table: WorkTable;
-  /** What keeps the table up to date. */
+  /** The follower that keeps the table up to date. */
   readonly work: Pick<WorkFollower, 'jobsCompleteAsOfMs'>;
   readonly config: ConfigWatch;
   readonly faults?: FaultLog;
-  /** Who watches this process. */
+  /** The processes that watch this one. */
   readonly watchers?: Pick<Watchers, 'standby'>;
 }
--- a/packages/runtime/src/internal/term-load.ts
+++ b/packages/runtime/src/internal/term-load.ts
@@ -2,30 +2,33 @@
 import type { LogFields, NodeLog } from '../node-log.js';
 import { delay, steadyMs } from './delay.js';
 
-/** How often a scheduling node tells how it fares, in milliseconds: one line costs 0.1 ms. */
-const TELL_MS = 1_000;
+/** Interval of log lines about the load of a leader, in milliseconds: one line costs 0.1 ms. */
+const REPORT_INTERVAL_MS = 1_000;
 
-const NONE_SENT = { workersAgeMs: 0, jobsAgeMs: 0, startWaitMs: 0 };
+const NO_STARTS_SENT = { workersAgeMs: 0, jobsAgeMs: 0, startWaitMs: 0 };
 
-/** How far the workers are reached on which something runs, or may. */
+/** Which workers with running tasks, or tasks that may run, this node is in contact with. */
 export interface Reachability {
-  /** Workers on which something runs, or may, and that have not answered this node yet. */
+  /** Workers with tasks that run, or may run, that have not answered this node yet. */
   readonly unreached: number;
-  /** The longest time for which any reached worker with runs has not answered, in milliseconds. */
+  /**
+   * The longest time for which a connected worker with running tasks has not answered, in
+   * milliseconds.
+   */
   readonly quietMs: number;
 }
 
-/** What the term itself knows, read when its load is told. */
+/** State of the term that is read for each report. */
 export interface TermView extends Reachability, Backlog {
   readonly jobs: number;
-  /** For how long leases may be given from now, in milliseconds; 0 or less: none are. */
+  /** How long leases may be granted from now, in milliseconds; 0 or less if none are. */
   readonly leaseLeftMs: number;
 }
 
 /**
- * How a scheduling node fares, one line a second. A node that decides for seconds on end, that is
- * short of processor time or whose appends are not answered looks alike from outside: leases lapse
- * and another node takes over. These figures tell the three apart.
+ * Logs the load of a leader, one line per second. A node whose decisions take seconds, a node short
+ * of processor time and a node whose appends are not answered look the same from outside: leases
+ * expire and another node takes over. These figures distinguish the three cases.
  */
 export class TermLoad {
   readonly #log: NodeLog;
@@ -46,15 +49,18 @@
 
   #starts = 0;
 
-  /** Of the starts that were sent: how old the views were at most, how long after their binding. */
-  #oldest = NONE_SENT;
+  /**
+   * The maximum age of the views and the maximum delay since the binding, over the starts sent
+   * since the last report.
+   */
+  #oldest = NO_STARTS_SENT;
 
   constructor(log: NodeLog, epoch: number) {
     this.#log = log;
     this.#epoch = epoch;
   }
 
-  /** A round of decisions took so long, without its append. */
+  /** Records that a round of decisions took this long without its append. */
   decided(tookMs: number): void {
     this.#rounds += 1;
     this.#decideMs += tookMs;
@@ -70,7 +76,9 @@
     this.#appendSentMs = undefined;
   }
 
-  /** A start is sent, so long after its task was bound, by views of these ages. */
+  /**
+   * Records that a start was sent this long after its task was bound, based on views of these ages.
+   */
   startSent({ workersAgeMs, jobsAgeMs }: LogFields, waitedMs: number): void {
     this.#starts += 1;
     this.#oldest = {
@@ -80,27 +88,27 @@
     };
   }
 
-  /** A worker has answered a renewal. */
+  /** Records that a worker has answered a renewal. */
   reported(): void {
     this.#reports += 1;
   }
 
-  /** Tells once a second, until the signal is given. */
+  /** Reports once per second until the signal is aborted. */
   async run(view: () => TermView, signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const sinceMs = steadyMs();
       const usage = process.cpuUsage();
-      await delay(TELL_MS, signal);
-      if (!signal.aborted) this.#tell(sinceMs, usage, view());
+      await delay(REPORT_INTERVAL_MS, signal);
+      if (!signal.aborted) this.#report(sinceMs, usage, view());
     }
   }
 
-  #tell(sinceMs: number, usage: NodeJS.CpuUsage, view: TermView): void {
+  #report(sinceMs: number, usage: NodeJS.CpuUsage, view: TermView): void {
     const nowMs = steadyMs();
     const { user, system } = process.cpuUsage(usage);
     this.#log.emit('info', 'term-load', {
       epoch: this.#epoch,
-      lateMs: Math.round(nowMs - sinceMs - TELL_MS),
+      lateMs: Math.round(nowMs - sinceMs - REPORT_INTERVAL_MS),
       cpuMs: Math.round((user + system) / 1_000),
       rounds: this.#rounds,
       decideMs: Math.round(this.#decideMs),
@@ -117,7 +125,7 @@
       reservedPercent: view.reservedPercent,
       bestEffortPercent: view.bestEffortPercent,
       leaseLeftMs: Math.round(view.leaseLeftMs),
-      // Of a node that is short of time the line itself may come late, or not at all.
+      // The line itself may be late, or dropped, on a node that is short of processor time.
       droppedLines: this.#log.dropped,
     });
     this.#rounds = 0;
@@ -126,16 +134,19 @@
     this.#appendMs = 0;
     this.#reports = 0;
     this.#starts = 0;
-    this.#oldest = NONE_SENT;
+    this.#oldest = NO_STARTS_SENT;
   }
 
-  /** The append that is under way counts with the time that it has taken so far. */
+  /**
+   * Returns the duration of the longest append; an append in flight counts with the time that it
+   * has taken.
+   */
   #longestAppendMs(nowMs: number): number {
     return Math.max(this.#appendMs, nowMs - (this.#appendSentMs ?? nowMs));
   }
 }
 
-/** The workers that have not answered, and the quietest of those that have. */
+/** Counts the workers that have not answered, and finds the longest silence of those that have. */
 export function reachabilityOf(workers: Iterable<WorkerState>, nowMs: number): Reachability {
   let unreached = 0;
   let quietMs = 0;
--- a/packages/runtime/src/internal/term-scheduler.ts
+++ b/packages/runtime/src/internal/term-scheduler.ts
@@ -5,10 +5,10 @@
 import { STALL_TIMEOUT_MS, STOP_RETRY_MS, withClockDrift } from './timing.js';
 import type { StoredJob } from './work-table.js';
 
-/** Decisions by the workers' entries: their lines tell how old the views were. */
-const BY_VIEWS: ReadonlySet<string> = new Set(['bound', 'worker-leaves']);
+/** Decisions based on the workers' entries: their log lines include the ages of the views. */
+const VIEW_BASED_EVENTS: ReadonlySet<string> = new Set(['bound', 'worker-leaves']);
 
-/** The scheduler of a term that begins now, whose leases last so many milliseconds. */
+/** Creates the scheduler of a term that starts now; `leaseMs` is the length of its leases. */
 export function createScheduler(
   log: NodeLog,
   leaseMs: number,
@@ -22,11 +22,14 @@
     stopRetryMs: STOP_RETRY_MS,
   };
   return new Scheduler(timing, steadyMs(), (event, fields) =>
-    log.emit('info', event, BY_VIEWS.has(event) ? { ...fields, ...viewAges() } : fields),
+    log.emit('info', event, VIEW_BASED_EVENTS.has(event) ? { ...fields, ...viewAges() } : fields),
   );
 }
 
-/** Hands a stored job over, as far as it has come; one whose progress is not known is left alone. */
+/**
+ * Loads a stored job with its progress into the scheduler; a job whose progress is uncertain is
+ * skipped.
+ */
 export function loadJob(scheduler: Scheduler, job: StoredJob): void {
   const { spec, progress, changedMs, isUnsure, cancelled } = job;
   if (isUnsure) return;
--- a/packages/runtime/src/internal/watchers.ts
+++ b/packages/runtime/src/internal/watchers.ts
@@ -1,6 +1,6 @@
 import type { PeerLink, PeerPort } from '../peer-port.js';
 
-/** The processes that watch this one, while it schedules. */
+/** The processes that are connected to this one to watch it while it is leader. */
 export class Watchers {
   readonly #links = new Set<PeerLink>();
 
@@ -8,7 +8,7 @@
     peers.accepted$.subscribe((link) => this.#accepted(link));
   }
 
-  /** The largest node among them: it is to claim the role first when this process ends. */
+  /** The largest node among them, which claims leadership first when this process ends. */
   get standby(): string | undefined {
     let largest: PeerLink | undefined;
     for (const link of this.#links) {
--- a/packages/runtime/src/internal/work-follower.ts
+++ b/packages/runtime/src/internal/work-follower.ts
@@ -6,51 +6,58 @@
 import { KeyedFollower } from './keyed-follower.js';
 import type { WorkTable } from './work-table.js';
 
-/** How long a read of the scheduling node's log waits at the store, in milliseconds. */
+/** How long a read of the work log waits at the store, in milliseconds. */
 const READ_WAIT_MS = 400;
 
-/** The pause between its reads, in milliseconds: each costs processor time and a call. */
-const FOLLOW_GAP_MS = 250;
+/**
+ * The pause between reads of the work log, in milliseconds: each read costs processor time and a
+ * call.
+ */
+const READ_GAP_MS = 250;
 
 /**
- * The same of the callers' log, on nodes that only follow. Every node has to know a job within three
- * seconds; longer than for the other log, as each node reads both.
+ * The same wait for the callers' log on nodes that are not leader. Every node must know a job
+ * within three seconds. The wait and the pause are longer than for the work log, as each node reads
+ * both.
  */
 const JOBS_WAIT_MS = 500;
 
 const JOBS_GAP_MS = 500;
 
-/** The pause between reads of the callers' log on the scheduling node: new jobs wait for them. */
+/**
+ * The pause between reads of the callers' log on the leader, in milliseconds: new jobs wait for
+ * these reads.
+ */
 const LEADER_JOBS_GAP_MS = 25;
 
-/** How often a new scheduling node looks whether it knows all jobs that were begun, in ms. */
-const WHOLE_LOOK_MS = 10;
+/** Interval of checks of a new leader whether the logs are loaded, in milliseconds. */
+const LOADED_POLL_INTERVAL_MS = 10;
 
 /**
- * Keeps the table up to date from two logs: the scheduling node's, with who schedules and how far
- * jobs are, and the callers', with jobs and cancels. No order holds between them but this: a job is
- * stored before its first progress, and deleted before it.
+ * Keeps the table up to date from two logs: the leader's work log, with who is leader and the
+ * progress of jobs, and the callers' log, with jobs and cancels. Records of the two logs are
+ * ordered in only one respect: a job is stored before its first progress and deleted before it.
  *
- * So the callers' log is loaded after the other one: a job that is found there has its progress in
- * what was loaded before. The other way round both could be deleted in between, and the job, found
- * without its progress, would run again.
+ * Therefore the callers' log is loaded after the work log: the progress of a job that is found
+ * there is among the records loaded before. In the opposite order both could be deleted in between,
+ * and the job, loaded without its progress, would run again.
  */
 export class WorkFollower {
   readonly #table: WorkTable;
 
   readonly #jobs: KeyedFollower;
 
-  /** Whether the callers' log is to be loaded once the other one is. */
+  /** Whether the callers' log must be loaded once the work log is. */
   #isJobsLoadDue = true;
 
-  #hasBegun = false;
+  #hasStarted = false;
 
   #runJobs: () => void = () => {};
 
-  /** Follows what the scheduling node writes. */
+  /** The follower of the work log, which the leader writes. */
   readonly workLog: KeyedFollower;
 
-  /** Tells when reads of one of the logs begin to fail. */
+  /** Emits when reads of one of the logs start to fail. */
   readonly lost$: Observable<void>;
 
   constructor(port: Pick<PlatformPort, 'workLog' | 'jobLog'>, log: NodeLog, table: WorkTable) {
@@ -58,7 +65,7 @@
     this.workLog = new KeyedFollower(port.workLog, log, {
       name: 'work',
       waitMs: READ_WAIT_MS,
-      gapMs: FOLLOW_GAP_MS,
+      gapMs: READ_GAP_MS,
     });
     this.#jobs = new KeyedFollower(port.jobLog, log, {
       name: 'jobs',
@@ -68,8 +75,8 @@
     this.lost$ = merge(this.workLog.lost$, this.#jobs.lost$);
     this.workLog.messages$.subscribe((message) => {
       if (message.kind === 'record') table.apply(message.rec);
-      else if (message.kind === 'reset') this.#rolesReset();
-      else this.#rolesCaughtUp();
+      else if (message.kind === 'reset') this.#workLogReset();
+      else this.#workLogCaughtUp();
     });
     this.#jobs.messages$.subscribe((message) => {
       if (message.kind === 'record') table.apply(message.rec);
@@ -82,7 +89,7 @@
     return this.#jobs.completeAsOfMs;
   }
 
-  /** When the older of both views was last known to be complete, on the steady clock. */
+  /** When the less recent of the two views was last known to be complete, on the steady clock. */
   get completeAsOfMs(): number {
     return Math.min(this.workLog.completeAsOfMs, this.#jobs.completeAsOfMs);
   }
@@ -92,17 +99,17 @@
     return this.workLog.isLoaded && this.#jobs.isLoaded && !this.#isJobsLoadDue;
   }
 
-  /** Whether the newest read of one of the logs has failed. */
+  /** Whether the latest read of one of the logs has failed. */
   get isLost(): boolean {
     return this.workLog.isLost || this.#jobs.isLost;
   }
 
   /** Follows until stopped. */
   async run(): Promise<void> {
-    const rolesLoaded = new Promise<void>((resolve) => {
+    const workLogLoaded = new Promise<void>((resolve) => {
       this.#runJobs = resolve;
     });
-    await Promise.all([this.workLog.run(), rolesLoaded.then(() => this.#jobs.run())]);
+    await Promise.all([this.workLog.run(), workLogLoaded.then(() => this.#jobs.run())]);
   }
 
   stop(): void {
@@ -111,47 +118,50 @@
     this.#runJobs();
   }
 
-  /** Whether this node schedules from now on. */
+  /** Sets whether this node is leader. */
   setLeading(isLeading: boolean): void {
     this.#jobs.setGap(isLeading ? LEADER_JOBS_GAP_MS : JOBS_GAP_MS);
   }
 
   /**
-   * Waits until what scheduling nodes wrote is read. While it is loaded anew a claim may be read
-   * before the progress of jobs, and these, taken on with what was known before, would run twice.
+   * Waits until the work log is loaded. While it is loaded again, a claim may be read before the
+   * progress of jobs; jobs that were adopted with their earlier progress would run twice.
    */
   async whenWorkLogLoaded(signal: AbortSignal): Promise<void> {
-    const isRead = (): boolean => this.workLog.isLoaded && !this.#isJobsLoadDue;
-    while (!signal.aborted && !isRead()) await delay(WHOLE_LOOK_MS, signal);
+    const isWorkLogLoaded = (): boolean => this.workLog.isLoaded && !this.#isJobsLoadDue;
+    while (!signal.aborted && !isWorkLogLoaded()) await delay(LOADED_POLL_INTERVAL_MS, signal);
   }
 
   /**
-   * Waits until the table holds every job that any scheduling node has begun whose records were read
-   * until now. Workers list tasks of such jobs; a node that did not know the job yet would stop them.
-   * False where the signal came first.
+   * Waits until the table holds every job that any leader has started and whose records were read
+   * until now. Workers list tasks of such jobs, and a leader that did not know the job yet would
+   * stop them. Returns false if the signal was aborted first.
    */
   async whenStartedJobsLoaded(signal: AbortSignal): Promise<boolean> {
     const sinceMs = steadyMs();
-    while (!signal.aborted && !this.#isWhole(sinceMs)) await delay(WHOLE_LOOK_MS, signal);
+    while (!signal.aborted && !this.#isFullyLoaded(sinceMs))
+      await delay(LOADED_POLL_INTERVAL_MS, signal);
     return !signal.aborted;
   }
 
-  /** Progress without a job is of one that this node has not read, or of one that is deleted. */
-  #isWhole(sinceMs: number): boolean {
+  /**
+   * Progress without a job belongs to a job that this node has not read yet, or to a deleted one.
+   */
+  #isFullyLoaded(sinceMs: number): boolean {
     if (!this.isLoaded) return false;
     return !this.#table.hasEarlyProgress || this.#jobs.completeAsOfMs >= sinceMs;
   }
 
-  #rolesReset(): void {
+  #workLogReset(): void {
     this.#table.reset();
     this.#isJobsLoadDue = true;
   }
 
-  #rolesCaughtUp(): void {
+  #workLogCaughtUp(): void {
     if (!this.#isJobsLoadDue) return;
     this.#isJobsLoadDue = false;
-    if (this.#hasBegun) this.#jobs.reload();
-    this.#hasBegun = true;
+    if (this.#hasStarted) this.#jobs.reload();
+    this.#hasStarted = true;
     this.#runJobs();
   }
 }
--- a/packages/runtime/src/internal/work-records.ts
+++ b/packages/runtime/src/internal/work-records.ts
@@ -3,10 +3,13 @@
 import { parseObject } from './parse-object.js';
 import { DEFAULT_LEASE_MS, withClockDrift } from './timing.js';
 
-/** Which kinds of records the work log holds. Their keys are one letter, a slash and the job. */
+/**
+ * The kinds of records in the logs of work. The keys of jobs, progress and cancels are one letter,
+ * a slash and the job id.
+ */
 export type WorkRecordKind = 'job' | 'progress' | 'cancel' | 'leader' | 'learned' | 'offer';
 
-const LETTERS: Readonly<Record<string, WorkRecordKind>> = {
+const KINDS_BY_LETTER: Readonly<Record<string, WorkRecordKind>> = {
   j: 'job',
   s: 'progress',
   c: 'cancel',
@@ -18,62 +21,65 @@
 
 const OFFER_KEY = 'offer';
 
-/** The process of a node, as others reach it. */
+/** The process of a node and its address for other nodes. */
 export interface NodeProcess {
   /** HOST:PORT. */
   readonly address: string;
-  /** Tells it from earlier and later processes of the node. */
+  /** Distinguishes the process from earlier and later processes of the node. */
   readonly id: string;
 }
 
-/** Says which node schedules. */
+/** Identifies the leader and states the bounds of its leases. */
 export interface LeaderRecord {
   /** The fencing token of its orders, and the epoch of its appends. */
   readonly epoch: number;
   readonly node: string;
-  /** Tells two claims of one node apart. */
+  /** Distinguishes two claims of one node. */
   readonly nonce: string;
-  /** The node has given up the role: another may claim it at once. */
+  /** The node has resigned: another one may claim leadership immediately. */
   readonly resigned: boolean;
   /**
-   * No lease of this term ends later than this after the sending of its newest record of any kind,
-   * in milliseconds of a worker's clock; but for those of `silent` workers.
+   * No lease of this term ends later than this after its newest record of any kind was sent, in
+   * milliseconds of a worker's clock, except on `silent` workers.
    */
   readonly leasesMs: number;
-  /** All leases of the terms before are over so long after the sending of this record, in ms. */
+  /**
+   * All leases of earlier terms expire within this time after this record was sent, in
+   * milliseconds.
+   */
   readonly formerMs: number;
   /**
-   * Workers that do not answer, and after how many milliseconds all leases there are over. They get
-   * no lease until a later record is stored that does not name them.
+   * Workers that do not answer, and after how many milliseconds all leases there expire. They get
+   * no lease until a later record that does not list them is stored.
    */
   readonly silent: Readonly<Record<string, number>>;
-  /** Counts the records of this term; the claim has 0. */
+  /** The sequence number of the record within its term; the claim has 0. */
   readonly number: number;
-  /** Processor time of the node, in cores; absent where it does not tell. */
+  /** Processor time of the node, in cores; absent if the node does not report it. */
   readonly cores?: number;
-  /** The same of the largest node that it has heard of, itself counted; absent without the other. */
+  /** Processor time of the largest node that it knows, including itself; absent if `cores` is. */
   readonly largestCores?: number;
-  /** For whom the node has given up the role. */
+  /** The node in whose favour this node has resigned. */
   readonly successor?: string;
-  /** The process that schedules; absent where it takes no connections of other nodes. */
+  /** The leader's process; absent if it accepts no connections from other nodes. */
   readonly process?: NodeProcess;
-  /** Who is to claim the role first when that process ends. */
+  /** The node that claims leadership first when that process ends. */
   readonly standby?: string;
-  /** By lane that takes no more jobs now: when callers may come back, in milliseconds. */
+  /** When callers may retry, in milliseconds, by capacity class that accepts no jobs now. */
   readonly retryAfterMs?: RetryAfter;
 }
 
-/** A node offers to take the role of a smaller leader. */
+/** A node's offer to take over from a smaller leader. */
 export interface OfferRecord {
   readonly node: string;
-  /** Its processor time, in cores. */
+  /** Processor time of the node, in cores. */
   readonly cores: number;
-  /** The leader's. */
+  /** The epoch of the leader. */
   readonly epoch: number;
 }
 
-/** For records of nodes that do not tell of their leases yet. */
-const UNTOLD = {
+/** Default fields for records of nodes that do not report their leases yet. */
+const DEFAULT_FIELDS = {
   leasesMs: DEFAULT_LEASE_MS,
   formerMs: withClockDrift(DEFAULT_LEASE_MS),
   silent: {},
@@ -96,12 +102,12 @@
   if (key === LEADER_KEY) return { kind: 'leader', id: '' };
   if (key === LEARNED_KEY) return { kind: 'learned', id: '' };
   if (key === OFFER_KEY) return { kind: 'offer', id: '' };
-  const kind = LETTERS[key.charAt(0)];
+  const kind = KINDS_BY_LETTER[key.charAt(0)];
   if (!kind || key.charAt(1) !== '/') return undefined;
   return { kind, id: key.slice(2) };
 }
 
-/** Whether only the scheduling node writes records of this key. */
+/** Whether only the leader writes records of this key. */
 export function isLeaderKey(key: string): boolean {
   const kind = parseKey(key)?.kind;
   return kind === 'leader' || kind === 'learned' || kind === 'progress';
@@ -111,37 +117,38 @@
   return JSON.stringify(rec);
 }
 
-/** Which node schedules, according to a record. */
+/** Decodes a leader record. */
 export function decodeLeader(text: string): Decoded<LeaderRecord> {
   const rec = parseObject<LeaderRecord>(text);
   if (!rec) return { fault: { reason: 'unreadable', field: 'value' } };
   const { epoch, node, nonce, resigned, leasesMs, formerMs, silent, number } = {
-    ...UNTOLD,
+    ...DEFAULT_FIELDS,
     ...rec,
   };
-  // The next claim counts on from it, and workers compare it with the tokens that they have seen.
+  // The next claim increments the epoch, and workers compare it with the tokens that they have seen.
   if (!isEpoch(epoch)) return wrongType('epoch');
   if (typeof node !== 'string') return wrongType('node');
   if (typeof nonce !== 'string') return wrongType('nonce');
   if (typeof resigned !== 'boolean') return wrongType('resigned');
-  // Sums with anything but a number would be over at once, or never.
-  if (!isTime(leasesMs)) return wrongType('leasesMs');
-  if (!isTime(formerMs)) return wrongType('formerMs');
-  if (!isTable(silent, isTime)) return wrongType('silent');
-  if (!isTime(number)) return wrongType('number');
+  // With a value that is not a number, computed deadlines would have passed already or would never
+  // pass.
+  if (!isNonNegative(leasesMs)) return wrongType('leasesMs');
+  if (!isNonNegative(formerMs)) return wrongType('formerMs');
+  if (!isRecordOf(silent, isNonNegative)) return wrongType('silent');
+  if (!isNonNegative(number)) return wrongType('number');
   const { cores, largestCores, successor, process, standby, retryAfterMs } = rec;
-  if (cores !== undefined && !isTime(cores)) return wrongType('cores');
-  if (largestCores !== undefined && !isTime(largestCores)) return wrongType('largestCores');
+  if (cores !== undefined && !isNonNegative(cores)) return wrongType('cores');
+  if (largestCores !== undefined && !isNonNegative(largestCores)) return wrongType('largestCores');
   if (successor !== undefined && typeof successor !== 'string') return wrongType('successor');
   if (process !== undefined && !isProcess(process)) return wrongType('process');
   if (standby !== undefined && typeof standby !== 'string') return wrongType('standby');
-  if (retryAfterMs !== undefined && !isTable(retryAfterMs, isTime))
+  if (retryAfterMs !== undefined && !isRecordOf(retryAfterMs, isNonNegative))
     return wrongType('retryAfterMs');
-  const told = { epoch, node, nonce, resigned, leasesMs, formerMs, silent, number };
+  const required = { epoch, node, nonce, resigned, leasesMs, formerMs, silent, number };
   const sizes = cores === undefined || largestCores === undefined ? {} : { cores, largestCores };
   return {
     value: {
-      ...told,
+      ...required,
       ...sizes,
       ...(successor === undefined ? {} : { successor }),
       ...(process === undefined ? {} : { process }),
@@ -155,13 +162,13 @@
   return JSON.stringify(rec);
 }
 
-/** Who offers to take the role, according to a record. */
+/** Decodes an offer to take over leadership. */
 export function decodeOffer(text: string): Decoded<OfferRecord> {
   const rec = parseObject<OfferRecord>(text);
   if (!rec) return { fault: { reason: 'unreadable', field: 'value' } };
   const { node, cores, epoch } = rec;
   if (typeof node !== 'string') return wrongType('node');
-  if (!isTime(cores)) return wrongType('cores');
+  if (!isNonNegative(cores)) return wrongType('cores');
   if (!isEpoch(epoch)) return wrongType('epoch');
   return { value: { node, cores, epoch } };
 }
@@ -170,11 +177,11 @@
   return JSON.stringify(weights);
 }
 
-/** What was learned of images, according to a record: each weight is a number. */
+/** Decodes what was learned about images: every weight must be a number. */
 export function decodeLearned(text: string): Decoded<InterferenceWeights> {
   const weights = parseObject<InterferenceWeights>(text);
   if (!weights) return { fault: { reason: 'unreadable', field: 'value' } };
-  return isTable(weights, isRow) ? { value: weights } : wrongType('value');
+  return isRecordOf(weights, isRow) ? { value: weights } : wrongType('value');
 }
 
 function wrongType(field: string): { readonly fault: RecordFault } {
@@ -191,7 +198,7 @@
   return Number.isSafeInteger(value) && (value as number) > 0;
 }
 
-function isTime(value: unknown): value is number {
+function isNonNegative(value: unknown): value is number {
   return typeof value === 'number' && Number.isFinite(value) && value >= 0;
 }
 
@@ -200,11 +207,11 @@
 }
 
 function isRow(value: unknown): value is Readonly<Record<string, number>> {
-  return isTable(value, isWeight);
+  return isRecordOf(value, isWeight);
 }
 
-/** Whether the value is an object all of whose fields are of a kind. */
-function isTable<T>(
+/** Whether the value is an object whose fields are all accepted by `isEntry`. */
+function isRecordOf<T>(
   value: unknown,
   isEntry: (entry: unknown) => entry is T,
 ): value is Readonly<Record<string, T>> {
--- a/packages/runtime/src/internal/work-table.ts
+++ b/packages/runtime/src/internal/work-table.ts
@@ -10,44 +10,46 @@
 import type { LeaderRecord, OfferRecord } from './work-records.js';
 import { decodeLeader, decodeLearned, decodeOffer, parseKey, progressKey } from './work-records.js';
 
-/** A job as the store has it. */
+/** A job as stored. */
 export interface StoredJob {
   readonly spec: JobSpec;
   state: JobState;
-  /** Time of day at which it reached a final state; 0 before that. */
+  /** Wall-clock time at which it reached a final state; 0 before that. */
   endedMs: number;
   progress: string | undefined;
-  /** When its newest progress was read, or the job itself before that, on the steady clock. */
+  /** When its newest progress was read, or the job itself if it has none, on the steady clock. */
   changedMs: number;
-  /** The newest record of its progress could not be read: `progress` may be out of date. */
+  /**
+   * Whether its newest progress record could not be read, so that `progress` may be out of date.
+   */
   isUnsure: boolean;
   cancelled: boolean;
 }
 
-/** How fast a long gap between the leader's records is forgotten, in milliseconds. */
-const GAP_FADE_MS = 5_000;
+/** Time constant of the decay of the largest gap between leader records, in milliseconds. */
+const GAP_DECAY_MS = 5_000;
 
 export type WorkChange =
   | { readonly kind: 'accepted' | 'cancelled' | 'deleted' | 'unsure'; readonly id: string }
   | { readonly kind: 'leader'; readonly leader: LeaderRecord };
 
-const UNFIT: RecordFault = { reason: 'unreadable', field: 'value' };
+const UNREADABLE: RecordFault = { reason: 'unreadable', field: 'value' };
 
 /**
- * Records of a job that came before it: its progress is read from another log, and pages of a load
- * are in no particular order.
+ * Records of a job that were read before the job: its progress is in another log, and the pages of
+ * a load are in no particular order.
  */
 interface EarlyRecords {
   progress?: KeyedRecord;
-  /** A record after it could not be read. */
+  /** Whether a later progress record could not be read. */
   isUnsure?: boolean;
   cancel?: KeyedRecord;
 }
 
 /**
- * Everything in the logs of work, as every node holds it: it answers callers from it, and whoever
- * takes over scheduling starts from it. Only stored facts stand here. A record that cannot
- * be used changes nothing, but that a job may become unsure by it.
+ * The content of the logs of work, held by every node: the node answers callers from it, and a new
+ * leader starts from it. It contains only stored facts. A record that cannot be used changes
+ * nothing, except that its job may become unsure.
  */
 export class WorkTable {
   readonly #jobs = new Map<string, StoredJob>();
@@ -56,8 +58,8 @@
 
   readonly #early = new Map<string, EarlyRecords>();
 
-  /** Jobs that are deleted, and their progress is not. */
-  readonly #outlived = new Set<string>();
+  /** Deleted jobs whose progress is not deleted yet. */
+  readonly #orphanedProgress = new Set<string>();
 
   #leader: LeaderRecord | undefined;
 
@@ -69,10 +71,13 @@
 
   readonly changes$ = new Subject<WorkChange>();
 
-  /** Offers of nodes to take the leader's role. */
+  /** Offers of nodes to take over from the leader. */
   readonly offers$ = new Subject<OfferRecord>();
 
-  /** The table of the node of this name; what it cannot use it tells the log of faults. */
+  /**
+   * Creates the table of the node with this name; records that cannot be used are reported to
+   * `faults`.
+   */
   constructor(node: string, faults?: FaultLog) {
     this.formerLeases = new FormerLeases(node, steadyMs());
     this.#faults = faults;
@@ -86,43 +91,43 @@
     return this.#leader;
   }
 
-  /** When a record of the scheduling node was last read, on the steady clock. */
+  /** When a record of the leader was last read, on the steady clock. */
   get leaderSeenMs(): number {
     return this.#leaderSeenMs;
   }
 
-  /** Until when workers may hold leases that earlier scheduling nodes have given. */
+  /** Until when workers may hold leases from earlier leaders. */
   readonly formerLeases: FormerLeases;
 
-  /** How far apart the scheduling node's records were lately, at most, in milliseconds. */
+  /** The largest recent gap between records of the leader, in milliseconds. */
   get leaderGapMs(): number {
     return this.#leaderGapMs;
   }
 
-  /** What scheduling nodes have learned of how images disturb each other. */
+  /** What leaders have learned about how images interfere with each other. */
   get learned(): InterferenceWeights {
     return this.#learned;
   }
 
-  /** Whether progress was read of jobs that were not. */
+  /** Whether progress was read of jobs that were not read yet. */
   get hasEarlyProgress(): boolean {
     return [...this.#early.values()].some(({ progress, isUnsure }) => progress ?? isUnsure);
   }
 
-  /** Jobs that are deleted, and their progress is not. */
+  /** Deleted jobs whose progress is not deleted yet. */
   get orphanedProgress(): Iterable<string> {
-    return this.#outlived;
+    return this.#orphanedProgress;
   }
 
   /**
-   * What scheduling nodes wrote is told anew. Jobs keep the progress that they have, also those that
-   * are not read yet: without it they would seem to be new until the record of each is read.
+   * Called before the work log is loaded again. Jobs keep their progress, including jobs that are
+   * not read yet: without it they would look new until the record of each is read.
    */
   reset(): void {
     this.formerLeases.viewReset();
   }
 
-  /** What callers asked for is told anew; progress is not, and waits for its jobs. */
+  /** Called before the callers' log is loaded again. Progress is kept for the jobs to be read. */
   resetJobs(): void {
     for (const [id, { cancel: _cancel, ...early }] of this.#early) {
       if (early.progress) this.#early.set(id, early);
@@ -163,7 +168,7 @@
     }
   }
 
-  /** Jobs of a queue of which no task has been started yet. */
+  /** Returns the number of jobs of a queue of which no task has been started yet. */
   pending(queue: string): number {
     let count = 0;
     for (const job of this.#jobs.values()) {
@@ -172,7 +177,7 @@
     return count;
   }
 
-  /** What the record says; undefined where it says nothing, or nothing that can be used. */
+  /** Returns the decoded record; undefined for a deletion or a record that cannot be used. */
   #decoded<T>(rec: KeyedRecord, decode: (text: string) => Decoded<T>): T | undefined {
     const { key, value, fault } = rec;
     if (value === undefined && !fault) {
@@ -191,11 +196,11 @@
   #applyLeader(rec: KeyedRecord): void {
     const leader = this.#decoded(rec, decodeLeader);
     if (!leader) {
-      if (rec.value !== undefined || rec.fault) this.#missedLeader();
+      if (rec.value !== undefined || rec.fault) this.#leaderRecordUnusable();
       return;
     }
-    // The silence before a new leader's first record says nothing about the store.
-    if (leader.epoch === this.#leader?.epoch) this.#sawLeader();
+    // The silence before the first record of a new leader says nothing about the store.
+    if (leader.epoch === this.#leader?.epoch) this.#leaderSeen();
     else this.#leaderSeenMs = steadyMs();
     if (this.#leader && leader.epoch < this.#leader.epoch) return;
     this.formerLeases.recordRead(leader, steadyMs());
@@ -204,10 +209,11 @@
   }
 
   /**
-   * The record may have been of a term that is now never read, or have named workers: as if the log
-   * had been read anew, only the next record tells how long leases may last.
+   * Called for a leader record that cannot be used. It may have belonged to a term of which no
+   * other record is read, or have listed silent workers. As after loading the log again, only the
+   * next record states how long leases may last.
    */
-  #missedLeader(): void {
+  #leaderRecordUnusable(): void {
     this.formerLeases.heartbeatRead(steadyMs());
     this.formerLeases.viewReset();
   }
@@ -215,7 +221,7 @@
   #applyLearned(rec: KeyedRecord): void {
     const learned = this.#decoded(rec, decodeLearned);
     this.#learned = learned ?? this.#learned;
-    this.#wordOf(rec, learned !== undefined);
+    this.#leaderWrote(rec, learned !== undefined);
   }
 
   #applyOffer(rec: KeyedRecord): void {
@@ -224,20 +230,21 @@
   }
 
   /**
-   * Of what only the scheduling node writes. A record that cannot be used may be anybody's, and is no
-   * sign that the node lives; it may be the node's too, and leases have been renewed since.
+   * Called for records that only the leader writes. Any client may have written a record that
+   * cannot be used, so it does not show that the leader is alive; but the leader may have written
+   * it too, and have renewed leases since.
    */
-  #wordOf({ value, fault }: KeyedRecord, isUsable: boolean): void {
+  #leaderWrote({ value, fault }: KeyedRecord, isUsable: boolean): void {
     const isDeletion = value === undefined && !fault;
-    if (isUsable || isDeletion) this.#sawLeader();
+    if (isUsable || isDeletion) this.#leaderSeen();
     else this.formerLeases.heartbeatRead(steadyMs());
   }
 
-  #sawLeader(): void {
+  #leaderSeen(): void {
     const nowMs = steadyMs();
     const gapMs = this.#leaderSeenMs > 0 ? nowMs - this.#leaderSeenMs : 0;
-    const fading = this.#leaderGapMs * Math.exp(-gapMs / GAP_FADE_MS);
-    this.#leaderGapMs = Math.max(fading, gapMs);
+    const decayedGapMs = this.#leaderGapMs * Math.exp(-gapMs / GAP_DECAY_MS);
+    this.#leaderGapMs = Math.max(decayedGapMs, gapMs);
     this.#leaderSeenMs = nowMs;
     this.formerLeases.heartbeatRead(nowMs);
   }
@@ -248,7 +255,7 @@
       if (rec.value === undefined && !rec.fault) this.#deleteJob(id);
       return;
     }
-    // A submission that was sent twice is one job: the first stands.
+    // A submission that was sent twice is one job: the first record counts.
     if (this.#jobs.has(id)) return;
     this.#jobs.set(id, {
       spec,
@@ -259,11 +266,11 @@
       isUnsure: false,
       cancelled: false,
     });
-    this.#outlived.delete(id);
+    this.#orphanedProgress.delete(id);
     const { progress, isUnsure, cancel } = this.#early.get(id) ?? {};
     this.#early.delete(id);
     if (progress) this.#useProgress(id, this.#jobs.get(id)!, progress);
-    if (isUnsure) this.#becomesUnsure(id, this.#jobs.get(id)!);
+    if (isUnsure) this.#markUnsure(id, this.#jobs.get(id)!);
     if (cancel) this.#applyCancel(id, cancel);
     this.changes$.next({ kind: 'accepted', id });
   }
@@ -272,56 +279,60 @@
     const job = this.#jobs.get(id);
     if (!job) return;
     this.#jobs.delete(id);
-    if (job.progress !== undefined || job.isUnsure) this.#outlived.add(id);
+    if (job.progress !== undefined || job.isUnsure) this.#orphanedProgress.add(id);
     this.changes$.next({ kind: 'deleted', id });
   }
 
   #applyProgress(id: string, rec: KeyedRecord): void {
     const job = this.#jobs.get(id);
     if (job) {
-      this.#wordOf(rec, this.#useProgress(id, job, rec));
+      this.#leaderWrote(rec, this.#useProgress(id, job, rec));
       return;
     }
     if (rec.value === undefined && !rec.fault) this.#progressDeleted(id);
     else this.#keepEarly(id, rec, { progress: rec, isUnsure: false });
-    this.#wordOf(rec, !rec.fault);
+    this.#leaderWrote(rec, !rec.fault);
   }
 
   #progressDeleted(id: string): void {
-    this.#outlived.delete(id);
+    this.#orphanedProgress.delete(id);
     const { cancel } = this.#early.get(id) ?? {};
     if (cancel) this.#early.set(id, { cancel });
     else this.#early.delete(id);
   }
 
-  /** Whether the record could be used; a deletion leaves the job as it is. */
+  /**
+   * Applies a progress record and returns whether it could be used; a deletion leaves the job
+   * unchanged.
+   */
   #useProgress(id: string, job: StoredJob, rec: KeyedRecord): boolean {
     const newest = this.#decoded(rec, (text) => {
       const state = JobProgress.decodeState(job.spec, text);
-      return state ? { value: { ...state, progress: text } } : { fault: UNFIT };
+      return state ? { value: { ...state, progress: text } } : { fault: UNREADABLE };
     });
-    if (newest) this.#progressed(id, job, newest);
-    else if (rec.value !== undefined || rec.fault) this.#becomesUnsure(id, job);
+    if (newest) this.#setProgress(id, job, newest);
+    else if (rec.value !== undefined || rec.fault) this.#markUnsure(id, job);
     return newest !== undefined;
   }
 
-  #progressed(id: string, job: StoredJob, newest: Partial<StoredJob>): void {
+  #setProgress(id: string, job: StoredJob, newest: Partial<StoredJob>): void {
     const wasUnsure = job.isUnsure;
     Object.assign(job, newest, { isUnsure: false, changedMs: steadyMs() });
-    // As if it were new: a scheduling node that had to leave it alone takes it on.
+    // The change is reported like a new job, so that a leader that had to skip the job loads it.
     if (wasUnsure) this.changes$.next({ kind: 'accepted', id });
   }
 
   /**
-   * The record may have bound tasks to workers, or ended them. Starting from the one before it would
-   * start such tasks a second time, so only the node that has the newest progress goes on with it.
+   * Marks a job whose newest progress record cannot be used. The record may have bound tasks to
+   * workers or ended them. A leader that started from the record before it would start such tasks a
+   * second time, so only a node that has the newest progress continues the job.
    */
-  #becomesUnsure(id: string, job: StoredJob): void {
+  #markUnsure(id: string, job: StoredJob): void {
     Object.assign(job, { isUnsure: true });
     this.changes$.next({ kind: 'unsure', id });
   }
 
-  /** That there is a record says it all: what it holds is not looked at. */
+  /** Any record of the key cancels the job; its value is not read. */
   #applyCancel(id: string, rec: KeyedRecord): void {
     if (rec.value === undefined && !rec.fault) return;
     const job = this.#jobs.get(id);
@@ -339,7 +350,7 @@
   }
 }
 
-/** The state that a caller is told. */
+/** Returns the state of a job as shown to callers. */
 export function shownState(job: StoredJob): JobState {
   return job.cancelled && !isFinal(job.state) ? 'cancelled' : job.state;
 }
--- a/packages/runtime/src/internal/worker-link.ts
+++ b/packages/runtime/src/internal/worker-link.ts
@@ -15,32 +15,40 @@
   withClockDrift,
 } from './timing.js';
 
-/** What a link tells the scheduling node. */
+/** The callbacks of a link and the state of the term that it needs. */
 export interface LinkListener {
   readonly token: number;
   /**
-   * How long from now a lease on the worker may last at most, in milliseconds; 0 or less where none
-   * may be given. Later nodes rely on it.
+   * Returns how long from now a lease on the worker may last at most, in milliseconds; 0 or less if
+   * no lease may be granted. Later leaders rely on this bound.
    */
   leaseLimitMs(worker: string): number;
-  /** Ends up to this number may be forgotten by the worker. */
+  /** The worker may drop ended runs up to this number. */
   ackedEnd(worker: string): number;
-  /** Whether anything runs on the worker, or may. */
+  /** Whether anything runs on the worker, or may run. */
   isBusy(worker: string): boolean;
   leaseSent(worker: string, leaseEndMs: number): void;
-  /** For how long a start may take effect, by the ages of the views that it rests on. */
+  /**
+   * Determines how long a start may take effect, given the ages of the views that it is based on.
+   */
   readonly views: Pick<StartViews, 'windowMs' | 'ages'>;
-  /** A start is being sent; what it begins holds a lease until its time is surely over. */
+  /**
+   * Called when a start is sent; the run may hold a lease until `windowEndMs`, which accounts for
+   * clock drift.
+   */
   startSent(order: Order, windowEndMs: number): void;
-  /** Whether an order is still to be sent. */
+  /** Whether an order must still be sent. */
   isDue(order: Order): boolean;
   reported(worker: string, report: WorkerReport, askedMs: number): void;
-  answered(order: Order, outcome: OrderOutcome, settledMs: number): void;
-  workerEnded(worker: string, why: string): void;
+  answered(order: Order, outcome: OrderOutcome, sendCompletedMs: number): void;
+  workerEnded(worker: string, reason: string): void;
   fenced(worker: string, reason: string): void;
 }
 
-/** The longest wait for ends to be stored before the next renewal, in ms: leases must go on. */
+/**
+ * The longest wait for ended runs to be stored before the next renewal, in milliseconds: leases
+ * must be renewed in time.
+ */
 const ACK_WAIT_MS = 400;
 
 interface ClockReading {
@@ -49,8 +57,8 @@
 }
 
 /**
- * The scheduling node's conversation with one life of a worker: renews its leases without end,
- * takes its reports, and sends it orders.
+ * The communication of the leader with one incarnation of a worker: renews its leases continuously,
+ * receives its reports and sends it orders.
  */
 export class WorkerLink {
   readonly address: WorkerAddress;
@@ -91,12 +99,12 @@
     return this.address.id;
   }
 
-  /** Whether its first answer is missing that a worker which lives has given by now. */
+  /** Whether the first answer is missing although a live worker would have answered by now. */
   isOverdue(nowMs: number): boolean {
     return this.#clock === undefined && nowMs - this.#startedMs > FIRST_ANSWER_MS;
   }
 
-  /** Whether the newest renewal was not answered. */
+  /** Whether the latest renewal got no answer. */
   get isLost(): boolean {
     return this.#isLost;
   }
@@ -111,30 +119,30 @@
     this.#ackWait.end();
   }
 
-  /** Ends that this worker has listed may be acknowledged now. */
+  /** Called when ended runs that this worker has listed may be acknowledged. */
   acknowledged(): void {
     this.#ackWait.end();
   }
 
-  /** Sends an order until it is answered or it is of no more use, and tells what came of it. */
+  /** Sends an order until it is answered or no longer useful, and reports the outcome. */
   async order(order: Order): Promise<void> {
     let outcome: OrderOutcome = 'unknown';
-    let settledMs = Infinity;
-    let mayRun = false;
+    let sendCompletedMs = Infinity;
+    let mayHaveStarted = false;
     for (let attempt = 0; attempt < START_ATTEMPTS && outcome === 'unknown'; attempt += 1) {
       if (this.#stopping.signal.aborted) return;
       const sentMs = steadyMs();
       const windowMs =
         order.kind === 'start' ? this.#listener.views.windowMs(sentMs) : START_WINDOW_MS;
-      const objection = this.#objection(order, windowMs);
-      if (objection) {
-        if (!mayRun) outcome = 'too-late';
-        this.#logOrder(order, outcome, objection, attempt, sentMs);
+      const reasonNotSent = this.#reasonNotToSend(order, windowMs);
+      if (reasonNotSent) {
+        if (!mayHaveStarted) outcome = 'too-late';
+        this.#logOrder(order, outcome, reasonNotSent, attempt, sentMs);
         break;
       }
       const deadlineMs = this.#workerTime(sentMs) + windowMs;
-      const overMs = sentMs + withClockDrift(windowMs);
-      if (order.kind === 'start') this.#listener.startSent(order, overMs);
+      const windowEndMs = sentMs + withClockDrift(windowMs);
+      if (order.kind === 'start') this.#listener.startSent(order, windowEndMs);
       const result = await this.#workers.order(
         this.address,
         order,
@@ -144,27 +152,31 @@
       this.#readClock(result.clockMs);
       outcome = result.outcome;
       if (outcome === 'unknown') {
-        mayRun = true;
-        settledMs = overMs;
-      } else if (!mayRun || outcome === 'done') {
-        settledMs = steadyMs();
+        mayHaveStarted = true;
+        sendCompletedMs = windowEndMs;
+      } else if (!mayHaveStarted || outcome === 'done') {
+        sendCompletedMs = steadyMs();
       }
       this.#logOrder(order, outcome, result.reason, attempt, sentMs);
     }
     if (this.#stopping.signal.aborted) return;
     if (outcome === 'fenced') this.#listener.fenced(this.id, 'order');
-    // An earlier attempt without an answer may run, whatever this one met with.
-    else if (mayRun && isRefusal(outcome)) this.#listener.answered(order, 'unknown', settledMs);
-    else this.#listener.answered(order, outcome, settledMs);
+    // The run of an earlier unanswered attempt may have started, whatever the outcome of this one.
+    else if (mayHaveStarted && isRefusal(outcome))
+      this.#listener.answered(order, 'unknown', sendCompletedMs);
+    else this.#listener.answered(order, outcome, sendCompletedMs);
   }
 
-  /** Why a start must not be sent now, though it was decided on. */
-  #objection(order: Order, windowMs: number): string | undefined {
+  /**
+   * Returns why a start must not be sent now although it was decided; undefined if it may be sent.
+   */
+  #reasonNotToSend(order: Order, windowMs: number): string | undefined {
     if (order.kind !== 'start') return undefined;
-    // A node that was frozen and replaced would start here what the next one starts elsewhere.
-    if (this.#listener.leaseLimitMs(this.id) < START_WINDOW_MS) return 'no lease may be given';
-    if (windowMs === 0) return 'the lists are too old';
-    return this.#listener.isDue(order) ? undefined : 'not due any more';
+    // A node that was frozen and replaced would start tasks here that the next leader starts
+    // elsewhere.
+    if (this.#listener.leaseLimitMs(this.id) < START_WINDOW_MS) return 'no lease may be granted';
+    if (windowMs === 0) return 'the views are too old';
+    return this.#listener.isDue(order) ? undefined : 'no longer due';
   }
 
   #logOrder(
@@ -190,17 +202,18 @@
 
   async #renew(): Promise<void> {
     const askedMs = steadyMs();
-    // A lease that is offered counts as given. Offered again and again to a worker that is gone, it
-    // would hold back for seconds what ran there; one look without a lease tells whether it lives.
+    // A lease that is offered counts as granted. Offered repeatedly to a worker that has ended,
+    // leases would delay the restart of its tasks for seconds; a renewal without a lease shows
+    // whether the worker is alive.
     const leaseMs = Math.floor(Math.min(this.#leaseMs, this.#listener.leaseLimitMs(this.id)));
-    const extend = this.#clock !== undefined && !this.#isLost && leaseMs > 0;
+    const isExtending = this.#clock !== undefined && !this.#isLost && leaseMs > 0;
     const req = {
       token: this.#listener.token,
       ackedEnd: this.#listener.ackedEnd(this.id),
       waitMs: this.#waitMs(leaseMs),
-      ...(extend && { deadlineMs: this.#workerTime(askedMs) + leaseMs }),
+      ...(isExtending && { deadlineMs: this.#workerTime(askedMs) + leaseMs }),
     };
-    if (extend) {
+    if (isExtending) {
       this.#listener.leaseSent(this.id, askedMs + withClockDrift(leaseMs));
     }
     const result = await this.#workers.renew(this.address, req);
@@ -216,9 +229,9 @@
   async #renewed(result: RenewResult, askedMs: number): Promise<void> {
     if (result.outcome === 'done') {
       this.#readClock(result.report.clockMs);
-      this.#found();
+      this.#markRegained();
       this.#listener.reported(this.id, result.report, askedMs);
-      await this.#untilAcked(result.report);
+      await this.#waitForAck(result.report);
       return;
     }
     if (result.outcome === 'fenced') {
@@ -229,27 +242,27 @@
       this.#listener.workerEnded(this.id, result.reason);
       return;
     }
-    this.#missed(result.reason);
+    this.#markLost(result.reason);
     await delay(RENEW_RETRY_MS, this.#stopping.signal);
   }
 
   /**
-   * Waits until the listed ends may be acknowledged. Until then the worker would list them again
-   * at once, and each of these answers costs both sides their processor time.
+   * Waits until the listed ended runs may be acknowledged. Until then the worker would list them
+   * again immediately, and each of these answers costs both sides processor time.
    */
-  async #untilAcked({ ended }: WorkerReport): Promise<void> {
+  async #waitForAck({ ended }: WorkerReport): Promise<void> {
     const last = ended.at(-1);
     if (!last || this.#listener.ackedEnd(this.id) >= last.number) return;
     if (!this.#stopping.signal.aborted) await this.#ackWait.wait(ACK_WAIT_MS);
   }
 
-  #found(): void {
+  #markRegained(): void {
     if (!this.#isLost) return;
     this.#isLost = false;
     this.#log.emit('info', 'worker-regained', { worker: this.id });
   }
 
-  #missed(reason: string): void {
+  #markLost(reason: string): void {
     if (this.#isLost) return;
     this.#isLost = true;
     this.#log.emit('warn', 'worker-lost', { worker: this.id, reason });
@@ -259,14 +272,17 @@
     if (clockMs !== undefined) this.#clock = { clockMs, atMs: steadyMs() };
   }
 
-  /** The worker's clock now, or a little less: the time since the reading came is not all of it. */
+  /**
+   * Returns the current time of the worker's clock, or slightly less: the reading was taken before
+   * the answer arrived.
+   */
   #workerTime(nowMs: number): number {
     if (!this.#clock) return 0;
     return Math.floor(this.#clock.clockMs + (nowMs - this.#clock.atMs));
   }
 }
 
-/** Whether the answer says that this attempt did nothing. */
+/** Whether the outcome means that this attempt had no effect. */
 function isRefusal(outcome: OrderOutcome): boolean {
   return outcome !== 'done' && outcome !== 'other-life';
 }
--- a/packages/runtime/src/internal/worker-links.ts
+++ b/packages/runtime/src/internal/worker-links.ts
@@ -5,18 +5,18 @@
 import type { LinkListener } from './worker-link.js';
 import { WorkerLink } from './worker-link.js';
 
-/** What all links of a term share. */
+/** Settings shared by all links of a term. */
 export interface LinkSettings {
   readonly listener: LinkListener;
   readonly workers: TaskWorkers;
   readonly log: NodeLog;
-  /** How long a lease lasts that a link gives, in milliseconds. */
+  /** The length of the leases that a link grants, in milliseconds. */
   readonly leaseMs: number;
-  /** Given when the term is over: no link begins after it. */
+  /** Aborted when the term ends: no link starts after that. */
   readonly signal: AbortSignal;
 }
 
-/** The links of a scheduling node to its workers: one to each, from when the worker is listed. */
+/** The links of a leader to its workers: one to each worker, from when it is listed. */
 export class WorkerLinks {
   readonly #settings: LinkSettings;
 
@@ -36,7 +36,7 @@
     return this.#links;
   }
 
-  /** Begins to talk to the worker, if nobody does. */
+  /** Starts a link to the worker unless there is one. */
   open(worker: WorkerState): void {
     const { id } = worker.entry;
     if (this.#links.has(id)) return;
--- a/packages/runtime/src/internal/worker-list.ts
+++ b/packages/runtime/src/internal/worker-list.ts
@@ -10,23 +10,25 @@
 import type { FollowerMessage } from './keyed-follower.js';
 import { KeyedFollower } from './keyed-follower.js';
 
-/** How often the entries of workers are read, in milliseconds. */
-const WORKER_LIST_GAP_MS = 250;
+/** The pause between reads of the worker log, in milliseconds. */
+const READ_GAP_MS = 250;
 
 /**
- * How long a read waits at the store for an entry, in milliseconds. The list grows older by it, and by
- * an old list no task begins: with a longer wait none would for a part of each read of a slow store.
+ * How long a read waits at the store for an entry, in milliseconds. The list becomes older by this
+ * time, and no task starts based on an old list: with a longer wait, no task could start during a
+ * part of each read of a slow store.
  */
 const READ_WAIT_MS = 400;
 
 const UNKNOWN_POOL: RecordFault = { reason: 'unknown-pool', field: 'pool' };
 
 /**
- * Tells the scheduler which workers there are, by their entries in the store. An entry that cannot
- * be used counts as none: its worker gets no tasks. What runs there already is kept, as on any
- * worker that is no longer listed: its link goes on renewing leases and reading reports, so no task
- * is taken to be over, and started elsewhere, before the worker says so or its leases are surely
- * over. The next sound entry lists it again, with all that runs there still counted.
+ * Keeps the scheduler's list of workers up to date from their entries in the store. A worker whose
+ * entry cannot be used is unlisted and gets no tasks. Its running tasks are kept, as on any worker
+ * that is no longer listed: its link continues to renew leases and to read reports, so no task is
+ * considered ended, and restarted elsewhere, before the worker reports its end or its leases have
+ * expired even on the slowest clock. The next valid entry lists the worker again, and everything
+ * that runs there is still counted.
  */
 export class WorkerList {
   readonly #port: PlatformPort;
@@ -45,15 +47,15 @@
 
   readonly #subscriptions: Subscription[] = [];
 
-  /** The newest entries that could be read, by worker. */
+  /** The newest valid entries, by worker. */
   readonly #entries = new Map<string, WorkerEntry>();
 
   #isLoaded = false;
 
-  /** Workers that a list which is being loaded anew has not named yet. */
-  #unnamed: Set<string> | undefined;
+  /** Listed workers whose entries were not read yet while the list is loaded again. */
+  #unconfirmed: Set<string> | undefined;
 
-  /** `link` begins to talk to a worker, if nobody does. */
+  /** `link` starts a link to a worker unless there is one. */
   constructor(
     port: PlatformPort,
     log: NodeLog,
@@ -71,7 +73,7 @@
     this.#follower = new KeyedFollower(port.workerLog, log, {
       name: 'workers',
       waitMs: READ_WAIT_MS,
-      gapMs: WORKER_LIST_GAP_MS,
+      gapMs: READ_GAP_MS,
     });
   }
 
@@ -89,7 +91,7 @@
   async run(): Promise<void> {
     this.#subscriptions.push(
       this.#config.changes$.subscribe(() => this.#poolsChanged()),
-      this.#follower.messages$.subscribe((message) => this.#told(message)),
+      this.#follower.messages$.subscribe((message) => this.#onMessage(message)),
     );
     await this.#follower.run();
   }
@@ -99,17 +101,17 @@
     this.#follower.stop();
   }
 
-  #told(message: FollowerMessage): void {
+  #onMessage(message: FollowerMessage): void {
     if (message.kind === 'record') this.#read(message.rec);
-    else if (message.kind === 'reset') this.#unnamed = new Set(this.#entries.keys());
+    else if (message.kind === 'reset') this.#unconfirmed = new Set(this.#entries.keys());
     else this.#caughtUp();
   }
 
   #caughtUp(): void {
     this.#isLoaded = true;
-    // What a fresh list does not name is not listed any more.
-    for (const id of this.#unnamed ?? []) this.#drop(id);
-    this.#unnamed = undefined;
+    // A worker without an entry in the reloaded list is no longer listed.
+    for (const id of this.#unconfirmed ?? []) this.#drop(id);
+    this.#unconfirmed = undefined;
   }
 
   #read(rec: KeyedRecord): void {
@@ -118,7 +120,7 @@
       if (rec.fault) this.#faults.unusable('workers', rec.key, rec.fault);
       return;
     }
-    this.#unnamed?.delete(id);
+    this.#unconfirmed?.delete(id);
     if (rec.value === undefined && !rec.fault) {
       this.#log.emit('info', 'worker-unlisted', { worker: id });
       this.#faults.forget('workers', id);
@@ -132,12 +134,12 @@
       return;
     }
     this.#entries.set(id, decoded.value);
-    this.#weigh(decoded.value);
+    this.#applyEntry(decoded.value);
   }
 
   /**
-   * The earliest time at which what is read now may have been written, on the steady clock: what it
-   * says of a worker's remaining time counts from then.
+   * The earliest time at which an entry that is read now may have been written, on the steady
+   * clock: the remaining time of a worker that it states counts from then.
    */
   get #writtenMs(): number {
     return this.completeAsOfMs === -Infinity ? steadyMs() : this.completeAsOfMs;
@@ -149,19 +151,20 @@
   }
 
   #poolsChanged(): void {
-    for (const entry of this.#entries.values()) this.#weigh(entry);
+    for (const entry of this.#entries.values()) this.#applyEntry(entry);
   }
 
-  #weigh(entry: WorkerEntry): void {
+  #applyEntry(entry: WorkerEntry): void {
     const { id } = entry;
-    if (this.#isNamed(entry.pool)) {
+    if (this.#isConfiguredPool(entry.pool)) {
       this.#faults.usable('workers', id);
       this.#scheduler.listWorker(entry, this.#writtenMs);
       this.#link(id);
       return;
     }
     this.#faults.unusable('workers', id, UNKNOWN_POOL);
-    // Tasks may run there from a time when the pool was named: the entry says where to ask.
+    // Tasks may run there from a time when the pool was configured, and the entry contains the
+    // address for the link.
     if (this.#scheduler.workers.has(id)) {
       this.#scheduler.listWorker(entry, this.#writtenMs);
       this.#link(id);
@@ -169,8 +172,10 @@
     this.#scheduler.unlistWorker(id);
   }
 
-  /** Before a configuration is known no task can start anywhere, but what runs must be watched. */
-  #isNamed(pool: string): boolean {
+  /**
+   * Before a configuration is known no task can start anywhere, but running tasks must be followed.
+   */
+  #isConfiguredPool(pool: string): boolean {
     return this.#config.current?.pools.has(pool) ?? true;
   }
 }
--- a/packages/runtime/src/job-api.ts
+++ b/packages/runtime/src/job-api.ts
@@ -7,10 +7,10 @@
 import type { NodeMetrics, NodeState } from './internal/node-metrics.js';
 import { steadyMs } from './internal/delay.js';
 
-/** How long a call over this interface may take, in milliseconds. */
-const CALL_MS = 3_000;
+/** Timeout of a call to this API, in milliseconds. */
+const CALL_TIMEOUT_MS = 3_000;
 
-/** A submitted job may be so large, in bytes. */
+/** Maximum size of a submitted job, in bytes. */
 const MAX_BODY_BYTES = 256 * 1024;
 
 const ID = /^[0-9a-f]{16}$/;
@@ -32,11 +32,11 @@
 interface Answer {
   readonly result: ResultCode;
   readonly fields?: object;
-  /** When a caller who is turned away may come back, in milliseconds. */
+  /** When the caller of a rejected request may retry, in milliseconds from now. */
   readonly refusalMs?: number;
 }
 
-/** What the interface needs of its node. */
+/** The part of a node that the API uses. */
 export interface JobApiNode {
   readonly jobs: JobService;
   queue(name: string): QueuePolicy | undefined;
@@ -44,11 +44,11 @@
 }
 
 /**
- * The project's own interface for jobs and metrics, on the administration address:
+ * The project's own API for jobs and metrics, on the administration address:
  *
  * - `POST|GET|DELETE /queues/QUEUE/jobs/ID` submits, shows and cancels a job.
- * - `GET /queues/QUEUE` tells how many jobs have not begun.
- * - `GET /metrics`
+ * - `GET /queues/QUEUE` returns the number of jobs that have not started.
+ * - `GET /metrics` returns the metrics in the text format of Prometheus.
  *
  * The schema and the metrics library are loaded after the node serves its callers: they would
  * double the time that a restarted node needs to be ready.
@@ -65,7 +65,7 @@
     this.#log = log;
   }
 
-  /** Serves on one more address, HOST:PORT. */
+  /** Serves on a further address, HOST:PORT. */
   async listen(address: string): Promise<void> {
     const { NodeMetrics: Metrics } = await import('./internal/node-metrics.js');
     this.#metrics ??= new Metrics(this.#log, () => this.#node.state);
@@ -143,7 +143,7 @@
       const spec = readJob(id, queue.name, text, Date.now());
       const refusalMs = this.#node.jobs.refusalMs(spec, queue);
       if (refusalMs !== undefined) return { result: RESULT_CODES.longWait, refusalMs };
-      const outcome = await this.#node.jobs.submit(spec, steadyMs() + CALL_MS);
+      const outcome = await this.#node.jobs.submit(spec, steadyMs() + CALL_TIMEOUT_MS);
       return { result: SUBMIT_RESULTS[outcome] };
     } catch (err) {
       if (!(err instanceof JobFaultsError)) throw err;
@@ -152,7 +152,7 @@
   }
 
   async #cancel(queue: string, id: string): Promise<Answer> {
-    const outcome = await this.#node.jobs.cancel(id, queue, steadyMs() + CALL_MS);
+    const outcome = await this.#node.jobs.cancel(id, queue, steadyMs() + CALL_TIMEOUT_MS);
     return { result: CANCEL_RESULTS[outcome] };
   }
 }
--- a/packages/runtime/src/job-service.ts
+++ b/packages/runtime/src/job-service.ts
@@ -12,49 +12,49 @@
 import { delay, steadyMs } from './internal/delay.js';
 
 /**
- * What a caller is told.
+ * The outcome of a submission, as reported to the caller.
  *
- * - `accepted`: it is stored.
+ * - `accepted`: the job is stored.
  * - `not-run`: nothing was stored, and nothing will be.
- * - `conflict`: the id stands for another job already.
- * - `unknown`: it may have been stored; the same id may be sent again.
+ * - `conflict`: the id already belongs to another job.
+ * - `unknown`: the job may have been stored; it may be submitted again with the same id.
  */
 export type SubmitOutcome = 'accepted' | 'not-run' | 'conflict' | 'unknown';
 
-/** `unavailable`: this node does not know enough to answer. */
+/** `unavailable`: the view of this node is too old for an answer, or the store cannot be used. */
 export type CancelOutcome = 'cancelled' | 'no-such-job' | 'unavailable' | 'unknown';
 
 export type StateAnswer = JobState | 'no-such-job' | 'unavailable';
 
 /**
- * A view older than this is not enough to deny a job, in milliseconds: well under the time after
- * which an accepted job must be known everywhere.
+ * A view older than this is not sufficient to deny that a job exists, in milliseconds: well below
+ * the time within which every node must know an accepted job.
  */
 const MAX_VIEW_AGE_MS = 2_500;
 
-/** An older record of the scheduling node keeps no job out, in milliseconds. */
+/** Leader records older than this do not cause a job to be refused, in milliseconds. */
 const MAX_REFUSAL_AGE_MS = 1_500;
 
 /** The pause before an unanswered append is repeated, in milliseconds. */
-const REPEAT_MS = 50;
+const RETRY_PAUSE_MS = 50;
 
-/** Whether a record is stored, and what says so. */
+/** Whether a record is stored, and on what evidence. */
 interface StoreResult {
   readonly outcome: 'stored' | 'not-run' | 'unknown';
   readonly reason: StoreReason;
-  /** How often the record was sent. */
+  /** How many times the record was sent. */
   readonly sends: number;
 }
 
 /**
- * - `confirmed`: the store has answered that it is stored.
- * - `store-lost`: nothing was sent, as the store cannot be read.
- * - `withdrawn`: the store was lost, or the time was over, before it was its turn to be sent.
- * - `store-refused`: the store has answered that it did nothing.
+ * - `confirmed`: the store has confirmed the append.
+ * - `store-lost`: nothing was sent because the store cannot be read.
+ * - `withdrawn`: the store was lost, or the deadline passed, before the record was sent.
+ * - `store-refused`: the store has refused the append.
  * - `lost-under-way`: the store was lost before it answered.
- * - `deadline`: the time was over before it answered.
+ * - `deadline`: the deadline passed before the store answered.
  * - `no-answer`: the connection ended without an answer, and the store is lost.
- * - `refused-after-loss`: the store did nothing now, but an earlier attempt has no answer.
+ * - `refused-after-loss`: the store refused the last append, but an earlier one has no answer.
  */
 type StoreReason =
   | 'confirmed'
@@ -66,18 +66,18 @@
   | 'no-answer'
   | 'refused-after-loss';
 
-/** What the service needs to know of the node's view of the work log. */
+/** The node's view of the logs of work, as the service uses it. */
 export interface WorkView {
   readonly table: WorkTable;
   /** When the view was last known to be complete, on the steady clock. */
   readonly completeAsOfMs: number;
   /** Whether the store cannot be read now. */
   readonly isLost: boolean;
-  /** Tells when the store can no longer be read. */
+  /** Emits when the store can no longer be read. */
   readonly lost$: Observable<void>;
 }
 
-/** The job interface: what callers may ask of any node. */
+/** Submits, cancels and shows jobs; every node offers this service to its callers. */
 export class JobService {
   readonly #view: WorkView;
 
@@ -85,7 +85,7 @@
 
   readonly #log: NodeLog;
 
-  /** Stored through this node, and not yet read back. */
+  /** Jobs that were stored through this node and not yet read back. */
   readonly #justAccepted = new Map<string, JobSpec>();
 
   constructor(view: WorkView, target: KeyedLog, log: NodeLog) {
@@ -98,13 +98,13 @@
   }
 
   /**
-   * Stores a job. Sent again with the same id it stays one job: repeated records of one key are
-   * taken once.
+   * Stores a job. A job that is submitted again with the same id remains one job: of repeated
+   * records of one key only the first counts.
    */
   async submit(spec: JobSpec, deadlineMs: number): Promise<SubmitOutcome> {
     const arrivedMs = steadyMs();
     const known = this.#find(spec.id);
-    if (known) return this.#repeated(spec, known);
+    if (known) return this.#repeatedOutcome(spec, known);
     const write = { key: jobKey(spec.id), value: encodeJob(spec) };
     const { outcome, reason, sends } = await this.#store(write, deadlineMs);
     if (outcome === 'stored' && !this.#view.table.jobs.has(spec.id)) {
@@ -125,14 +125,14 @@
   }
 
   /**
-   * In how many milliseconds a caller had better come back with a job; undefined where it can be taken
-   * now, or stands already.
+   * Returns in how many milliseconds a caller should retry a job; undefined if the job can be
+   * accepted now or is stored already.
    */
   refusalMs(spec: JobSpec, queue: QueuePolicy): number | undefined {
     const { leader, leaderSeenMs } = this.#view.table;
     const leaderAgeMs = steadyMs() - leaderSeenMs;
-    const isTold = leader?.retryAfterMs !== undefined && leaderAgeMs < MAX_REFUSAL_AGE_MS;
-    if (!isTold || this.#find(spec.id)) return undefined;
+    const hasRefusals = leader?.retryAfterMs !== undefined && leaderAgeMs < MAX_REFUSAL_AGE_MS;
+    if (!hasRefusals || this.#find(spec.id)) return undefined;
     const waitMs = retryDelayMs(spec, queue, leader.retryAfterMs);
     if (waitMs === undefined) return undefined;
     this.#log.emit('info', 'submit', {
@@ -151,7 +151,7 @@
   async cancel(id: string, queue: string, deadlineMs: number): Promise<CancelOutcome> {
     const known = this.#find(id);
     if (known?.queue !== queue) {
-      if (known || this.#isFresh()) return 'no-such-job';
+      if (known || this.#isUpToDate()) return 'no-such-job';
       return 'unavailable';
     }
     const write = { key: cancelKey(id), value: '1' };
@@ -165,12 +165,14 @@
     const job = this.#view.table.jobs.get(id);
     if (job && job.spec.queue === queue) return shownState(job);
     if (this.#justAccepted.get(id)?.queue === queue) return 'queued';
-    return this.#isFresh() ? 'no-such-job' : 'unavailable';
+    return this.#isUpToDate() ? 'no-such-job' : 'unavailable';
   }
 
-  /** How many jobs of a queue have not begun; undefined where the view is too old to tell. */
+  /**
+   * Returns the number of jobs of a queue that have not started; undefined if the view is too old.
+   */
   pending(queue: string): number | undefined {
-    return this.#isFresh() ? this.#view.table.pending(queue) : undefined;
+    return this.#isUpToDate() ? this.#view.table.pending(queue) : undefined;
   }
 
   #find(id: string): JobSpec | undefined {
@@ -178,20 +180,21 @@
   }
 
   /**
-   * Without the store nothing can be accepted, and the caller had better try another node now. A
-   * record that was sent in vain may still be stored, so its caller could not be told that the job
-   * has not run; and until its time limit is over the next ones would wait behind it, though the
-   * store is back. Nothing is sent from the first failed read until one succeeds.
+   * Whether records may be sent to the store. Without the store nothing can be accepted, and the
+   * caller should try another node immediately. A record that was sent without an answer may still
+   * be stored, so its caller could not be told that the job has not run; and until its deadline,
+   * further records would wait behind it even if the store has recovered. Therefore nothing is sent
+   * from the first failed read until a read succeeds.
    */
   #canStore(): boolean {
-    return !this.#view.isLost && this.#isFresh();
+    return !this.#view.isLost && this.#isUpToDate();
   }
 
-  #isFresh(): boolean {
+  #isUpToDate(): boolean {
     return steadyMs() - this.#view.completeAsOfMs < MAX_VIEW_AGE_MS;
   }
 
-  #repeated(spec: JobSpec, known: JobSpec): SubmitOutcome {
+  #repeatedOutcome(spec: JobSpec, known: JobSpec): SubmitOutcome {
     const isSame =
       spec.queue === known.queue &&
       spec.payload === known.payload &&
@@ -201,20 +204,21 @@
   }
 
   /**
-   * Stores one record, again and again until the deadline while no answer comes. `not-run` is
-   * only said when every attempt was refused by the store, or none was sent.
+   * Stores one record, with retries until the deadline while there is no answer. Returns `not-run`
+   * only if the store refused every attempt or none was sent.
    */
   async #store(write: KeyedWrite, deadlineMs: number): Promise<StoreResult> {
     if (!this.#canStore()) return { outcome: 'not-run', reason: 'store-lost', sends: 0 };
     let sends = 0;
     while (steadyMs() < deadlineMs) {
-      // Once the store is lost, waiting on would only keep the caller from asking another node.
+      // Once the store is lost, a longer wait would only keep the caller from trying another node.
       const lost = this.#view.lost$.pipe(map(() => 'lost-under-way' as const));
       const late = timer(deadlineMs - steadyMs()).pipe(map(() => 'deadline' as const));
       const append = this.#batcher.append(write);
       const result = await firstValueFrom(race(from(append.result), merge(lost, late)));
       if (typeof result === 'string') {
-        // Sent later, into a store that is away, it could be stored though its caller has given up.
+        // A record that is sent later, after an outage, could be stored although its caller has
+        // given up.
         if (!append.withdraw()) return { outcome: 'unknown', reason: result, sends: sends + 1 };
         return { outcome: sends > 0 ? 'unknown' : 'not-run', reason: 'withdrawn', sends };
       }
@@ -225,7 +229,7 @@
         return { outcome: 'not-run', reason: 'store-refused', sends };
       }
       if (this.#view.isLost) return { outcome: 'unknown', reason: 'no-answer', sends };
-      await delay(REPEAT_MS, new AbortController().signal);
+      await delay(RETRY_PAUSE_MS, new AbortController().signal);
     }
     return { outcome: 'unknown', reason: 'deadline', sends };
   }
--- a/packages/runtime/src/keyed-log.ts
+++ b/packages/runtime/src/keyed-log.ts
@@ -8,17 +8,18 @@
 
 /** One record of a log that keeps the newest record of each key. */
 export interface KeyedRecord {
-  /** As far as it could be read; empty where nothing of it could. */
+  /** The key as far as it could be read; empty if nothing could be read. */
   readonly key: string;
-  /** Absent where the key was deleted. */
+  /** The value; undefined if the key was deleted. */
   readonly value: string | undefined;
-  /** Why the record cannot be read. It neither says anything nor deletes its key. */
+  /** Why the record cannot be read. Such a record has no value and does not delete its key. */
   readonly fault?: RecordFault;
 }
 
 /**
- * Names a writer. The log refuses a lower epoch than one it has seen, and takes the appends of
- * one epoch in the order of their sequence numbers, a repeated one only once.
+ * Identifies a writer. The log refuses epochs lower than the highest it has seen, accepts the
+ * appends of one epoch in the order of their sequence numbers, and stores a repeated append only
+ * once.
  */
 export interface WriterStamp {
   readonly writer: string;
@@ -28,42 +29,42 @@
 
 export interface AppendOptions {
   readonly stamp?: WriterStamp;
-  /** Append only if the log still ends here. */
+  /** Append only if the log still ends at this offset. */
   readonly at?: number;
   /**
-   * Send it no more than once, though its stamp would let the log take a repeat for what it is: by
-   * the time of a repeat the reason for the append may be gone.
+   * Send the append at most once, although its stamp would let the log recognize a repeat: the
+   * reason for the append may no longer hold when it would be repeated.
    */
   readonly isOnce?: boolean;
 }
 
 /**
- * What came of an append.
+ * The outcome of an append.
  *
- * - `appended`: it is stored for good.
+ * - `appended`: the records are stored durably.
  * - `fenced`: a higher epoch has written since.
- * - `moved`: the log did not end where it was expected to.
- * - `out-of-sequence`: an append before this one is missing, or was another one.
- * - `refused`: nothing was done; the store is busy or turns this node away.
- * - `unknown`: no answer; it may have been stored, or may yet be.
+ * - `moved`: the log did not end at the expected offset.
+ * - `out-of-sequence`: the append before this one is missing or was a different one.
+ * - `refused`: nothing was done; the store is busy or rejects this node.
+ * - `unknown`: there was no answer; the records may have been stored, or may be stored later.
  */
 export type AppendOutcome =
   'appended' | 'fenced' | 'moved' | 'out-of-sequence' | 'refused' | 'unknown';
 
 export interface AppendResult {
   readonly outcome: AppendOutcome;
-  /** Why, where it was not appended. */
+  /** Why the records were not appended. */
   readonly reason: string;
 }
 
 export interface ReadResult {
-  /** Every record of the log, also those that could not be read. */
+  /** All records of the log in the range, including unreadable ones. */
   readonly records: readonly KeyedRecord[];
-  /** Where to read on. */
+  /** The offset at which to continue reading. */
   readonly next: number;
-  /** Where the log ended when it was read. */
+  /** The end of the log when it was read. */
   readonly end: number;
-  /** Until when nothing is missing here, on the steady clock. */
+  /** The time up to which the result is complete, on the steady clock. */
   readonly asOfMs: number;
 }
 
@@ -73,16 +74,16 @@
   readonly end: number;
 }
 
-/** The store could not be read; the message says why. */
+/** Thrown if the store cannot be read; the message states the reason. */
 export class StoreUnavailableError extends Error {
   override readonly name = 'StoreUnavailableError';
 }
 
-/** The records asked for are gone; read the newest of each key instead. */
+/** Thrown if the requested records have expired; read the newest record of each key instead. */
 export class RecordsExpiredError extends Error {
   override readonly name = 'RecordsExpiredError';
 
-  /** From where on the log has its records, as far as the store has told. */
+  /** The first offset that the log still has, as reported by the store; 0 if unknown. */
   readonly first: number;
 
   constructor(message: string, first = 0) {
@@ -91,9 +92,9 @@
   }
 }
 
-/** A log on the platform's store that keeps the newest record of each key for good. */
+/** A log on the platform's store that keeps the newest record of each key permanently. */
 export abstract class KeyedLog {
-  /** Appends all records or none, and never throws for what the store may do. */
+  /** Appends all records or none of them. Never throws for a fault of the store. */
   abstract append(records: readonly KeyedWrite[], options?: AppendOptions): Promise<AppendResult>;
 
   /**
@@ -104,7 +105,7 @@
   abstract read(from: number, waitMs: number): Promise<ReadResult>;
 
   /**
-   * The newest record of each key, a page at a time. Pages are not a snapshot.
+   * Returns the newest record of each key, one page at a time. Pages are not a snapshot.
    *
    * @throws StoreUnavailableError
    */
--- a/packages/runtime/src/node-log.ts
+++ b/packages/runtime/src/node-log.ts
@@ -7,26 +7,31 @@
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error';
 
 /**
- * Lines that wait to be written, in bytes. With a reader that has stopped reading this is all the
- * memory that the log may take; what comes after is dropped and counted.
+ * Maximum size of the lines that wait to be written, in bytes. This bounds the memory of the log
+ * when its reader has stopped reading; further lines are dropped and counted.
  */
 const MAX_WAITING_BYTES = 512 * 1024;
 
 const STDOUT = 1;
 
-/** Bytes in one write at most: some readers take no more than a pipe holds at once. */
+/**
+ * Maximum size of one write, in bytes: some readers accept at most the capacity of a pipe at once.
+ */
 const MAX_WRITE_BYTES = 16 * 1024;
 
-/** A full pipe is tried again after so long, in ms: given up, its lines would be lost unseen. */
-const FULL_PIPE_MS = 10;
+/**
+ * Interval of retries of a write to a full pipe, in milliseconds: without retries its lines would
+ * be lost silently.
+ */
+const FULL_PIPE_RETRY_MS = 10;
 
-/** The library's numbers of the levels. */
+/** The numeric levels of the log library. */
 const LEVELS: Readonly<Record<LogLevel, number>> = { debug: 1, info: 2, warn: 3, error: 4 };
 
 /**
- * The structured log of a process: one line of key=value pairs for each decision. Writing to a
- * pipe directly would block the process while nobody reads, and with it every lease that it
- * renews; so lines are queued, written from a worker thread, and dropped beyond a bound.
+ * The structured log of a process: one line of key=value pairs for each decision. A direct write to
+ * a pipe would block the process while its reader is stalled, and with it the renewal of leases.
+ * Therefore lines are queued, written from a worker thread, and dropped beyond a bound.
  */
 export class NodeLog {
   readonly #node: string;
@@ -49,17 +54,20 @@
     this.#logger.setLevel(level, false);
   }
 
-  /** How many lines were dropped since the start. */
+  /** The number of lines dropped since the start. */
   get dropped(): number {
     return this.#dropped;
   }
 
-  /** Tells of every event from now on, also of those below the level that is written. */
+  /**
+   * Calls the observer for every event from now on, including events below the level that is
+   * written.
+   */
   observe(observer: (event: string, fields: LogFields) => void): void {
     this.#observer = observer;
   }
 
-  /** Writes one line for an event, named in kebab-case. */
+  /** Writes one line for an event, whose name is in kebab-case. */
   emit(level: LogLevel, event: string, fields: LogFields = {}): void {
     this.#observer?.(event, fields);
     if (LEVELS[level] < this.#logger.getLevel()) return;
@@ -87,15 +95,18 @@
 
   #write(data: Buffer): void {
     write(STDOUT, data, 0, Math.min(data.length, MAX_WRITE_BYTES), (err, written) => {
-      if (err?.code === 'EAGAIN') setTimeout(() => this.#write(data), FULL_PIPE_MS);
-      else if (err) this.#lose(data);
+      if (err?.code === 'EAGAIN') setTimeout(() => this.#write(data), FULL_PIPE_RETRY_MS);
+      else if (err) this.#dropLines(data);
       else if (written < data.length) this.#write(data.subarray(written));
       else this.#writeNext();
     });
   }
 
-  /** A closed standard output is no reason to end: the work goes on without a log. */
-  #lose(data: Buffer): void {
+  /**
+   * Drops lines that cannot be written. A closed standard output does not end the process: it
+   * continues without a log.
+   */
+  #dropLines(data: Buffer): void {
     this.#dropped += data.toString().split('\n').length - 1;
     this.#writeNext();
   }
--- a/packages/runtime/src/node-settings.ts
+++ b/packages/runtime/src/node-settings.ts
@@ -1,21 +1,26 @@
-/** What a node is told when it starts, whatever form its settings have. */
+/** The settings of a node, independent of the format that they were read from. */
 export interface NodeSettings {
   readonly node: string;
   readonly dataCentre: string;
-  /** Its processor time, in cores; undefined where the platform does not tell. */
+  /** The processor time of the node, in cores; undefined if the platform does not report it. */
   readonly cores: number | undefined;
   /** The longest lease that a worker grants, in milliseconds. */
   readonly maxLeaseMs: number;
   /** How long a stop may take, in milliseconds. */
   readonly stopTimeoutMs: number;
-  /** So long after a worker has said that it leaves a task may still begin there, in milliseconds. */
+  /**
+   * How long after a worker has announced that it leaves a task may still start there, in
+   * milliseconds.
+   */
   readonly drainMs: number;
-  /** So long after a job's cancel is confirmed one of its tasks may still begin, in milliseconds. */
+  /**
+   * How long after a job's cancel is confirmed one of its tasks may still start, in milliseconds.
+   */
   readonly cancelMs: number;
-  /** So long after operators have changed the configuration every node goes by it, in milliseconds. */
+  /** How long after a change of the configuration every node must apply it, in milliseconds. */
   readonly configApplyMs: number;
-  /** How long a job's final state must be known, in milliseconds. */
+  /** How long the final state of a job must be kept, in milliseconds. */
   readonly keepStateMs: number;
-  /** After SIGTERM the process is killed when this is over, in milliseconds. */
+  /** How long after SIGTERM the process is killed, in milliseconds. */
   readonly graceMs: number;
 }
--- a/packages/runtime/src/node.ts
+++ b/packages/runtime/src/node.ts
@@ -11,15 +11,21 @@
 import type { PlatformPort } from './platform-port.js';
 import { delay, steadyMs } from './internal/delay.js';
 
-/** A node whose view is older than this had better get no new callers, in milliseconds. */
+/**
+ * A node whose view is older than this reports that it is not ready for new callers, in
+ * milliseconds.
+ */
 const READY_VIEW_AGE_MS = 1_500;
 
-/** A starting node keeps callers waiting for so long at most, in milliseconds. */
+/** The longest time that a starting node keeps callers waiting, in milliseconds. */
 const LOAD_WAIT_MS = 500;
 
-const LOAD_LOOK_MS = 10;
+const LOAD_POLL_INTERVAL_MS = 10;
 
-/** One node of the system: takes jobs, answers for them, and schedules when the role falls to it. */
+/**
+ * One node of the system: accepts jobs, answers queries about them, and schedules while it is
+ * leader.
+ */
 export class Node {
   readonly #log: NodeLog;
 
@@ -75,24 +81,24 @@
     this.#run('leadership', this.#leadership.run());
   }
 
-  /** Whether new callers should be sent here. */
+  /** Whether new callers should be sent to this node. */
   get isReady(): boolean {
     if (this.#isStopping || this.#config.current === undefined) return false;
-    // It takes no job until a read succeeds again, so new callers had better go elsewhere.
+    // The node accepts no jobs until a read succeeds, so new callers should use another node.
     if (this.#work.isLost) return false;
     return steadyMs() - this.#work.completeAsOfMs < READY_VIEW_AGE_MS;
   }
 
   /**
-   * Waits, for a moment at most, until the node has read what it needs to answer callers. A caller
-   * who comes while it starts would else be sent away for a second, for want of some milliseconds.
+   * Waits briefly until the node has read what it needs to answer callers. Otherwise a caller that
+   * connects during the start would be rejected for a second because of some missing milliseconds.
    */
   async whenLoaded(): Promise<void> {
     const { follower } = this.#config;
     const endMs = steadyMs() + LOAD_WAIT_MS;
     const isComplete = (): boolean => this.#work.completeAsOfMs > -Infinity && follower.isLoaded;
     while (steadyMs() < endMs && !isComplete()) {
-      await delay(LOAD_LOOK_MS, new AbortController().signal);
+      await delay(LOAD_POLL_INTERVAL_MS, new AbortController().signal);
     }
   }
 
@@ -101,25 +107,26 @@
   }
 
   /**
-   * Whether what is not configured may be denied. A caller takes that for final, and by a view as old
-   * as this the operators may have added it in time. Known queues are served by an old view all the
-   * same: else an outage of the operators' records alone would be one of all jobs.
+   * Whether the node may report that a queue is not configured. A caller treats that answer as
+   * final, and operators may have added the queue after the time of an old view. Known queues are
+   * served even with an old view: otherwise an outage of only the operators' records would stop all
+   * jobs.
    */
   get mayDenyQueue(): boolean {
     return this.configAgeMs < this.#configApplyMs;
   }
 
-  /** How long ago the configuration was known to be the newest, in milliseconds. */
+  /** How long ago the configuration was last known to be up to date, in milliseconds. */
   get configAgeMs(): number {
     return steadyMs() - this.#config.follower.completeAsOfMs;
   }
 
-  /** The queue of this name, as the operators have configured it; undefined where they have not. */
+  /** Returns the configured queue of this name; undefined if there is none. */
   queue(name: string): QueueRoute | undefined {
     return this.#config.current?.queues.find((queue) => queue.name === name);
   }
 
-  /** What operators want to know of the node at a glance. */
+  /** The state of the node for operators. */
   get state(): NodeState {
     const jobs = new Map<string, number>();
     for (const job of this.#table.jobs.values()) {
@@ -143,7 +150,7 @@
     return this.#config.route(host, path);
   }
 
-  /** Hands the scheduling role on; the node goes on answering callers until the process ends. */
+  /** Resigns leadership; the node continues to answer callers until the process ends. */
   async retire(): Promise<void> {
     this.#isStopping = true;
     await this.#leadership.stop();
--- a/packages/runtime/src/peer-port.ts
+++ b/packages/runtime/src/peer-port.ts
@@ -1,11 +1,11 @@
 import type { Observable } from 'rxjs';
 
-/** What a process of this system tells another one as they connect. */
+/** The information that processes of this system exchange when they connect. */
 export interface PeerHello {
   readonly node: string;
   /** Processor time of the node, in cores. */
   readonly cores: number;
-  /** Tells this process from earlier and later ones of the same node. */
+  /** Distinguishes this process from earlier and later ones of the same node. */
   readonly processId: string;
 }
 
@@ -13,18 +13,21 @@
 export abstract class PeerLink {
   abstract readonly peer: PeerHello;
 
-  /** Resolves when the connection has ended, for whatever reason. */
+  /** Resolves when the connection has ended for any reason. */
   abstract readonly closed: Promise<void>;
 
   abstract close(): void;
 }
 
-/** Nothing listens at the address of a peer: its process has ended. */
+/** Thrown if nothing listens at the address of a peer: its process has ended. */
 export class PeerGoneError extends Error {
   override readonly name = 'PeerGoneError';
 }
 
-/** A peer was not reached. Its process may live: behind a cut, frozen, or with a full queue. */
+/**
+ * Thrown if a peer cannot be contacted. Its process may be alive: behind a network partition,
+ * frozen, or with a full queue.
+ */
 export class PeerUnreachedError extends Error {
   override readonly name = 'PeerUnreachedError';
 }
@@ -33,10 +36,13 @@
 export abstract class PeerPort {
   abstract readonly self: PeerHello;
 
-  /** Where other processes reach this one, HOST:PORT; undefined while it does not listen. */
+  /**
+   * The address at which other processes contact this one, HOST:PORT; undefined while it does not
+   * listen.
+   */
   abstract readonly address: string | undefined;
 
-  /** Connections that others have opened. */
+  /** Connections opened by other processes. */
   abstract readonly accepted$: Observable<PeerLink>;
 
   /**
--- a/packages/runtime/src/platform-port.ts
+++ b/packages/runtime/src/platform-port.ts
@@ -5,29 +5,32 @@
 import type { Decoded } from './record-fault.js';
 import type { TaskWorkers } from './task-workers.js';
 
-/** What the platform gives a node, in this project's words. */
+/** The interface of the platform to a node, in the terms of this project. */
 export interface PlatformPort {
-  /** Who schedules, and how far jobs are: what the scheduling node writes. */
+  /** The log that the leader writes: who is leader, and the progress of jobs. */
   readonly workLog: KeyedLog;
   /**
-   * Jobs and their cancels: what callers ask for. Its appends must not wait for those of `workLog`,
-   * nor those for them.
+   * The log of jobs and their cancels, which callers request. Its appends must not wait for those
+   * of `workLog`, nor vice versa.
    */
   readonly jobLog: KeyedLog;
-  /** What workers say of themselves. */
+  /** The log of the entries of workers, which they write themselves. */
   readonly workerLog: KeyedLog;
-  /** What operators write. */
+  /** The log that operators write. */
   readonly operatorLog: KeyedLog;
   readonly workers: TaskWorkers;
-  /** Other processes of this system; absent where they meet in the store alone. */
+  /**
+   * Connections to other processes of this system; absent if processes communicate only through the
+   * store.
+   */
   readonly peers?: PeerPort;
 
-  /** The id of the worker whose entry this record is; undefined for other records. */
+  /** Returns the id of the worker whose entry this record is; undefined for other records. */
   workerIdOf(rec: KeyedRecord): string | undefined;
 
-  /** The worker whose entry this record is, or why it names none to use. */
+  /** Decodes the entry of a worker, or returns why it cannot be used. */
   decodeWorker(rec: KeyedRecord): Decoded<WorkerEntry>;
 
-  /** Undefined for a record that is not the configuration. */
+  /** Decodes the configuration; returns undefined for other records. */
   decodeConfig(rec: KeyedRecord): Decoded<ClusterConfig> | undefined;
 }
--- a/packages/runtime/src/record-fault.ts
+++ b/packages/runtime/src/record-fault.ts
@@ -1,11 +1,11 @@
 /**
  * Why a record cannot be used.
  *
- * - `unreadable`: its bytes are no record, no text, or no JSON object.
- * - `missing`: a field that every such record has is not there.
- * - `wrong-type`: a field holds a value of another type, or a number that no such field holds.
- * - `unknown-value`: a field holds a word that it cannot hold.
- * - `unknown-pool`: the worker belongs to a pool that the operators do not name.
+ * - `unreadable`: its bytes are not a record, not text, or not a JSON object.
+ * - `missing`: a required field is missing.
+ * - `wrong-type`: a field has a value of the wrong type or a number out of range.
+ * - `unknown-value`: a field has a string that is not one of its possible values.
+ * - `unknown-pool`: the worker belongs to a pool that is not configured.
  */
 export type FaultReason =
   'unreadable' | 'missing' | 'wrong-type' | 'unknown-value' | 'unknown-pool';
@@ -13,9 +13,9 @@
 /** What is wrong with a record. */
 export interface RecordFault {
   readonly reason: FaultReason;
-  /** The part of the record that is at fault, as whoever wrote it would name it. */
+  /** The faulty field, as named by the writer of the record. */
   readonly field: string;
 }
 
-/** What a record says, or why it says nothing that can be used. */
+/** The value of a record, or why it cannot be used. */
 export type Decoded<T> = { readonly value: T } | { readonly fault: RecordFault };
--- a/packages/runtime/src/task-workers.ts
+++ b/packages/runtime/src/task-workers.ts
@@ -1,6 +1,6 @@
 import type { Order, OrderOutcome, WorkerReport } from '@redwingcrank/jobs';
 
-/** A worker process as it is addressed: one life of it at one place. */
+/** One incarnation of a worker process and its address. */
 export interface WorkerAddress {
   readonly id: string;
   readonly address: string;
@@ -8,11 +8,14 @@
 
 export interface RenewRequest {
   readonly token: number;
-  /** Ends up to this number may be forgotten. */
+  /** The worker may drop ended runs up to this number. */
   readonly ackedEnd: number;
-  /** Until when on the worker's clock all that runs there may run; absent to only look. */
+  /**
+   * The time on the worker's clock until which its runs may continue; absent to only read the
+   * report.
+   */
   readonly deadlineMs?: number;
-  /** How long the answer may wait for an end. */
+  /** How long the answer may wait for a run to end, in milliseconds. */
   readonly waitMs: number;
 }
 
@@ -25,16 +28,16 @@
 
 export interface OrderResult {
   readonly outcome: OrderOutcome;
-  /** The worker's clock, where it answered with it. */
+  /** The worker's clock, if its answer included it. */
   readonly clockMs?: number;
   readonly reason: string;
 }
 
-/** Calls to workers. None of them throws for what a worker or the network may do. */
+/** Calls to workers. They never throw for faults of a worker or of the network. */
 export abstract class TaskWorkers {
   abstract renew(worker: WorkerAddress, req: RenewRequest): Promise<RenewResult>;
 
-  /** Carries out an order; a start takes no effect after `deadlineMs` on the worker's clock. */
+  /** Sends an order; a start has no effect after `deadlineMs` on the worker's clock. */
   abstract order(
     worker: WorkerAddress,
     order: Order,
@@ -42,6 +45,6 @@
     deadlineMs: number,
   ): Promise<OrderResult>;
 
-  /** Drops connections to a worker that is gone. */
+  /** Closes connections to a worker that has ended. */
   abstract disconnect(worker: WorkerAddress): void;
 }
--- a/packages/runtime/src/tcp-peers.ts
+++ b/packages/runtime/src/tcp-peers.ts
@@ -5,13 +5,15 @@
 import type { PeerHello } from './peer-port.js';
 import { PeerGoneError, PeerLink, PeerPort, PeerUnreachedError } from './peer-port.js';
 
-/** A peer is connected and has said who it is within this time, in milliseconds. */
-const HELLO_MS = 2_000;
+/** Timeout for connecting to a peer and receiving its hello line, in milliseconds. */
+const HELLO_TIMEOUT_MS = 2_000;
 
-/** Idle connections are probed after so long, in ms: one that went silent is found out by it. */
+/**
+ * Idle time after which a connection is probed, in milliseconds, to detect peers that fell silent.
+ */
 const KEEP_ALIVE_MS = 2_000;
 
-/** A line that says who a peer is takes no more, in bytes. */
+/** Maximum size of a hello line, in bytes. */
 const MAX_HELLO_BYTES = 1_024;
 
 /** An established connection. */
@@ -37,7 +39,7 @@
   }
 }
 
-/** Connections over TCP. Each side sends one line of JSON that says who it is, and nothing more. */
+/** Connections over TCP. Each side sends one line of JSON that identifies it, and nothing else. */
 export class TcpPeers extends PeerPort {
   readonly self: PeerHello;
 
@@ -57,7 +59,7 @@
   /** Listens on HOST:PORT. */
   async listen(address: string): Promise<void> {
     const server = net.createServer((socket) => {
-      this.#meet(socket).then(
+      this.#handshake(socket).then(
         (link) => this.accepted$.next(link),
         () => socket.destroy(),
       );
@@ -67,7 +69,7 @@
       server.once('error', reject);
       server.listen(port, host, resolve);
     });
-    // Whatever the process is for ends it; being reachable does not.
+    // This server does not keep the process running.
     server.unref();
     this.#address = address;
   }
@@ -79,7 +81,7 @@
     };
     signal.addEventListener('abort', abort);
     try {
-      return await this.#meet(socket);
+      return await this.#handshake(socket);
     } catch (err) {
       socket.destroy();
       const { code, message } = err as NodeJS.ErrnoException;
@@ -90,14 +92,14 @@
     }
   }
 
-  /** Says who this process is, and reads who the other one is. */
-  async #meet(socket: net.Socket): Promise<PeerLink> {
+  /** Sends the hello of this process and reads the hello of the peer. */
+  async #handshake(socket: net.Socket): Promise<PeerLink> {
     socket.setKeepAlive(true, KEEP_ALIVE_MS);
     socket.write(`${JSON.stringify(this.self)}\n`);
     const peer = decodeHello(await readLine(socket));
-    // What comes after the line is read and dropped, so that the end of the connection is seen.
+    // Data after the line is read and dropped, to detect the end of the connection.
     socket.resume();
-    // The end is told by `close`, which follows every error.
+    // `close` follows every error and reports the end.
     socket.on('error', () => {});
     return new TcpLink(socket, peer);
   }
@@ -112,9 +114,9 @@
   return new Promise((resolve, reject) => {
     let text = '';
     const fail = (err: Error): void => reject(err);
-    socket.setTimeout(HELLO_MS, () => fail(new Error('no hello in time')));
+    socket.setTimeout(HELLO_TIMEOUT_MS, () => fail(new Error('peer sent no hello line in time')));
     socket.on('error', fail);
-    socket.on('close', () => fail(new Error('closed before the hello')));
+    socket.on('close', () => fail(new Error('connection closed before the hello line')));
     socket.on('data', (data: Buffer) => {
       text += data.toString('latin1');
       const end = text.indexOf('\n');
@@ -123,17 +125,17 @@
         socket.setTimeout(0);
         resolve(text.slice(0, end));
       } else if (text.length > MAX_HELLO_BYTES) {
-        fail(new Error('no hello'));
+        fail(new Error('hello line of the peer is too long'));
       }
     });
   });
 }
 
-/** @throws Error for a line of anything but a peer */
+/** @throws Error if the line is not the hello of a peer */
 function decodeHello(line: string): PeerHello {
   const { node, cores, processId } = parseObject<PeerHello>(line) ?? {};
   const isHello =
     typeof node === 'string' && typeof cores === 'number' && typeof processId === 'string';
-  if (!isHello) throw new Error('not a hello');
+  if (!isHello) throw new Error('hello line of the peer is invalid');
   return { node, cores, processId };
 }
