--- a/packages/decisions/src/rebind/lease-expiry-tracker.ts
+++ b/packages/decisions/src/rebind/lease-expiry-tracker.ts
@@ -29,10 +29,10 @@
  *
  * Proof sketch. Let R be the offset of the revoke record, and t0 the time at which this node had
  * folded it. A worker executes the attempt only until h + lease, where h is the time of a heartbeat
- * of the worker that was answered by a start or a renewal. The sender of each such answer checked
- * it after h, on a fold that did not yet contain R. A pause between the check and the send, or a
- * delay on the wire, makes no difference, because the lease counts from h. It is therefore enough
- * to bound, for each node, the time of its last check without R:
+ * of the worker that was answered by a start or a renewal. The sender of each such message checked
+ * the attempt after h, on a fold that did not yet contain R. A pause between the check and the
+ * send, or a delay on the wire, makes no difference, because the lease counts from h. It is
+ * therefore enough to bound, for each node, the time of its last check without R:
  * - this node: t0;
  * - a peer whose hello, received at t, states that it has folded R or a later record: t (the hello
  *   is its acknowledgement);
--- a/packages/decisions/src/rebind/worker-liveness.ts
+++ b/packages/decisions/src/rebind/worker-liveness.ts
@@ -20,7 +20,10 @@
     this.#lastReportAt.set(hostId, now);
   }
 
-  /** Restarts all silence periods after a pause or as a new holder, when no report could arrive. */
+  /**
+   * Restarts all silence periods: during a pause, or before it became the holder, this node could
+   * not receive reports.
+   */
   reset(now: number): void {
     this.#resetAt = now;
   }
--- a/packages/decisions/src/record-ids.ts
+++ b/packages/decisions/src/record-ids.ts
@@ -1,8 +1,8 @@
 /**
- * How many record ids are remembered for finding second copies. A copy follows its first within
- * the limit of the log's answers; snapshots carry the ids, so there must not be too many.
+ * Number of record ids remembered to detect duplicates. A duplicate follows the original within the
+ * time limit of the log's answers. Snapshots contain the ids, so their number has to be limited.
  */
-const REMEMBERED_IDS = 2_000;
+const MAX_REMEMBERED_IDS = 2_000;
 
 /** The ids of the newest records, oldest first. */
 export class RecordIds {
@@ -14,17 +14,17 @@
 
   add(id: string): void {
     this.#ids.add(id);
-    if (this.#ids.size <= REMEMBERED_IDS) return;
+    if (this.#ids.size <= MAX_REMEMBERED_IDS) return;
     const [oldest] = this.#ids;
     if (oldest !== undefined) this.#ids.delete(oldest);
   }
 
-  /** All of them, for a snapshot. */
+  /** Returns all ids, for a snapshot. */
   toArray(): string[] {
     return [...this.#ids];
   }
 
-  /** Puts the ids of a snapshot in place of these. */
+  /** Replaces the ids with those of a snapshot. */
   restore(ids: readonly string[]): void {
     this.#ids.clear();
     ids.forEach((id) => this.#ids.add(id));
--- a/packages/decisions/src/rendezvous.ts
+++ b/packages/decisions/src/rendezvous.ts
@@ -8,10 +8,10 @@
 }
 
 /**
- * Picks one of the candidates for a key by rendezvous hashing: every process with the same
- * candidates picks the same one, and losing one candidate moves only its own keys.
+ * Picks a candidate for a key by rendezvous hashing: all processes with the same candidates pick
+ * the same one, and losing a candidate moves only its own keys.
  *
- * @returns The candidate, or undefined where there is none.
+ * @returns The candidate, or undefined if there are no candidates.
  */
 export function rendezvous(key: string, candidates: readonly string[]): string | undefined {
   let best: string | undefined;
--- a/packages/decisions/src/request-rules.ts
+++ b/packages/decisions/src/request-rules.ts
@@ -4,11 +4,11 @@
 const IDEMPOTENT_METHODS = new Set(['GET', 'HEAD', 'PUT', 'DELETE', 'OPTIONS', 'TRACE']);
 
 /**
- * Whether a request may be sent to an endpoint more than once. The caller's header goes before
- * the manifest's rules, and those before the method.
+ * Returns whether a request may be sent more than once. The caller's header takes precedence over
+ * the manifest's rules, and these over the method.
  *
  * @param path - The path below the service's prefix.
- * @param header - The caller's own word, if any.
+ * @param header - The value of the caller's header, if any.
  */
 export function isIdempotent(
   service: Service,
--- a/packages/decisions/src/requests/endpoint-health.ts
+++ b/packages/decisions/src/requests/endpoint-health.ts
@@ -1,21 +1,21 @@
-/** So many sends in a row without a sign of life eject an endpoint. */
-const SILENCES_TO_EJECT = 3;
+/** Number of consecutive sends without a response after which an endpoint is ejected. */
+const SILENCES_BEFORE_EJECTION = 3;
 
 const FIRST_EJECTION_MS = 2_000;
 const MAX_EJECTION_MS = 16_000;
 
-/** After this long without a probe, all requests may try: some services get no idempotent ones. */
-const OPEN_AGAIN_MS = 30_000;
+/** After this time without a probe, all requests may try: some services get no idempotent ones. */
+const REOPEN_AFTER_MS = 30_000;
 
 const SAMPLE_WEIGHT = 0.2;
 
-/** A latency that was measured so long ago counts half: a slow endpoint may have recovered. */
+/** Age at which a measured latency has half its weight: a slow endpoint may have recovered. */
 const LATENCY_HALF_LIFE_MS = 10_000;
 
 /**
- * - `open`: takes requests.
- * - `probe`: its ejection is over; one idempotent request may try it.
- * - `ejected`: takes nothing while another endpoint has room.
+ * - `open`: accepts requests.
+ * - `probe`: the ejection has ended; one idempotent request may test the endpoint.
+ * - `ejected`: gets no requests while another endpoint has free capacity.
  */
 export type EndpointState = 'open' | 'probe' | 'ejected';
 
@@ -28,59 +28,59 @@
   measuredAt: number;
 }
 
-/** What one entry host has seen of each endpoint. Times are in milliseconds. */
+/** The health of each endpoint as observed by one entry host. Times are in milliseconds. */
 export class EndpointHealth {
-  readonly #seen = new Map<string, Health>();
+  readonly #healthByAddress = new Map<string, Health>();
 
   stateOf(address: string, now: number): EndpointState {
-    const health = this.#seen.get(address);
+    const health = this.#healthByAddress.get(address);
     if (!health || health.ejections === 0) return 'open';
-    if (now >= health.ejectedUntil + OPEN_AGAIN_MS) return 'open';
+    if (now >= health.ejectedUntil + REOPEN_AFTER_MS) return 'open';
     return now >= health.ejectedUntil && !health.probing ? 'probe' : 'ejected';
   }
 
-  /** The smoothed latency, or 0 where nothing was measured yet. */
+  /** Returns the smoothed latency, or 0 before the first measurement. */
   latencyOf(address: string, now: number): number {
-    const health = this.#seen.get(address);
+    const health = this.#healthByAddress.get(address);
     if (!health) return 0;
     return health.latencyMs * 0.5 ** ((now - health.measuredAt) / LATENCY_HALF_LIFE_MS);
   }
 
-  /** A request goes out; where the endpoint is on probation, it is the one probe. */
+  /** Handles a request being sent; if a probe of the endpoint is due, the request is that probe. */
   sent(address: string, now: number): void {
-    if (this.stateOf(address, now) === 'probe') this.#of(address).probing = true;
+    if (this.stateOf(address, now) === 'probe') this.#healthOf(address).probing = true;
   }
 
-  /** The first bytes of an answer came. */
+  /** Handles the first bytes of an answer. */
   answered(address: string, latencyMs: number, now: number): void {
-    const health = this.#of(address);
+    const health = this.#healthOf(address);
     Object.assign(health, { silences: 0, ejections: 0, probing: false });
-    const first = health.measuredAt === 0;
-    health.latencyMs += (first ? 1 : SAMPLE_WEIGHT) * (latencyMs - health.latencyMs);
+    const isFirst = health.measuredAt === 0;
+    health.latencyMs += (isFirst ? 1 : SAMPLE_WEIGHT) * (latencyMs - health.latencyMs);
     health.measuredAt = now;
   }
 
-  /** A send got no sign of life within its limit, or its connection broke. */
+  /** Handles a send without any response within its time limit, or with a broken connection. */
   silent(address: string, now: number): void {
-    const health = this.#of(address);
+    const health = this.#healthOf(address);
     health.silences += 1;
-    if (health.probing || health.silences >= SILENCES_TO_EJECT) this.#eject(health, now);
+    if (health.probing || health.silences >= SILENCES_BEFORE_EJECTION) this.#eject(health, now);
   }
 
-  /** The endpoint took no connection: nothing listens there, so one refusal is enough. */
+  /** Handles a refused connection. Nothing listens there, so one refusal ejects the endpoint. */
   refused(address: string, now: number): void {
-    this.#eject(this.#of(address), now);
+    this.#eject(this.#healthOf(address), now);
   }
 
-  /** Forgets the endpoints that are no more. */
+  /** Forgets all endpoints other than the given ones. */
   retain(addresses: ReadonlySet<string>): void {
-    for (const address of this.#seen.keys()) {
-      if (!addresses.has(address)) this.#seen.delete(address);
+    for (const address of this.#healthByAddress.keys()) {
+      if (!addresses.has(address)) this.#healthByAddress.delete(address);
     }
   }
 
   #eject(health: Health, now: number): void {
-    // Sends that went out before the ejection must not lengthen it one by one.
+    // Failed sends that were made before the ejection must not extend it.
     if (now < health.ejectedUntil) return;
     const factor = 2 ** health.ejections;
     const ms = Math.min(MAX_EJECTION_MS, FIRST_EJECTION_MS * factor);
@@ -88,10 +88,10 @@
     health.ejections += 1;
   }
 
-  #of(address: string): Health {
-    const known = this.#seen.get(address);
+  #healthOf(address: string): Health {
+    const known = this.#healthByAddress.get(address);
     if (known) return known;
-    const fresh = {
+    const created = {
       silences: 0,
       ejections: 0,
       ejectedUntil: 0,
@@ -99,7 +99,7 @@
       latencyMs: 0,
       measuredAt: 0,
     };
-    this.#seen.set(address, fresh);
-    return fresh;
+    this.#healthByAddress.set(address, created);
+    return created;
   }
 }
--- a/packages/decisions/src/requests/key-home.ts
+++ b/packages/decisions/src/requests/key-home.ts
@@ -1,19 +1,20 @@
 import { rendezvous } from '../rendezvous.js';
 
-/** An entry host as the settings name it. */
+/** An entry host from the settings. */
 export interface EntryHost {
   readonly nodeId: string;
   readonly dataCentre: string;
 }
 
 /**
- * The entry host that remembers an idempotency key.
+ * Returns the home of an idempotency key: the entry host that remembers it.
  *
- * Invariant: the home depends on the key and the settings alone, never on who is alive. Two hosts
- * that saw different peers die would otherwise choose two homes, and the key would run at both.
+ * Invariant: the home depends only on the key and the settings, never on which hosts are alive.
+ * Otherwise two hosts that observed the failure of different peers would choose different homes,
+ * and the key would run at both.
  *
- * A key may name its data centre, as in `dc1/7f3a`: its home is then an entry host there, so that
- * it needs no other data centre. Any other key has its home among all entry hosts.
+ * A key may name its data centre, as in `dc1/7f3a`. Its home is then an entry host there, so that
+ * it depends on no other data centre. The home of any other key is one of all entry hosts.
  */
 export function keyHome(key: string, hosts: readonly EntryHost[]): string | undefined {
   const named = key.split('/', 1)[0];
--- a/packages/decisions/src/requests/key-table.ts
+++ b/packages/decisions/src/requests/key-table.ts
@@ -1,16 +1,16 @@
-/** How a key's only run ended. */
+/** How the only run of a key ended. */
 export type RunOutcome<A> =
   | { readonly type: 'answer'; readonly answer: A; readonly bytes: number }
   | { readonly type: 'ran' | 'unknown' | 'not-run' };
 
 /**
- * What to do with a keyed request at its home.
- * - `run`: this is the first; run it and report the end.
- * - `join`: it runs now; wait for the same end.
- * - `answer`: it ran; this was the answer.
- * - `ran`: it ran, but its answer is no longer kept.
- * - `unknown`: it was sent once, and nobody knows whether it ran.
- * - `beyond-memory`: an earlier send may be older than what this home remembers.
+ * How the home of a key handles a request with this key.
+ * - `run`: this is the first request; run it and report the end.
+ * - `join`: the request is running; wait for the same end.
+ * - `answer`: the request ran, with this answer.
+ * - `ran`: the request ran, but its answer is no longer kept.
+ * - `unknown`: the request was sent, and it is not known whether it ran.
+ * - `beyond-memory`: an earlier send may be older than the memory of this home.
  * - `other-request`: the key belongs to a request with other content.
  */
 export type KeyVerdict<A> =
@@ -25,9 +25,9 @@
   bytes: number;
 }
 
-/** What a home hands on when it ends: its keys without their answers. Times in milliseconds. */
+/** The keys that a home passes to its successor, without their answers. Times in milliseconds. */
 export interface KeyMemory {
-  /** How far back the table is complete; null where it has no beginning. */
+  /** How far back the table is complete; null if no earlier key is missing. */
   readonly completeForMs: number | null;
   readonly keys: readonly {
     readonly key: string;
@@ -38,31 +38,32 @@
 }
 
 export interface KeyTableLimits {
-  /** The greatest age of a key that is sent again; an unstated age is taken to be this. */
+  /** The maximum age of a key that is sent again; assumed if the age is not given. */
   readonly windowMs: number;
-  /** The longest that a request may be held up between its caller and this table. */
+  /** The maximum delay of a request between its caller and this table. */
   readonly maxDelayMs: number;
   readonly maxKeys: number;
-  /** All kept answers together. */
+  /** The maximum total size of all kept answers. */
   readonly maxAnswerBytes: number;
 }
 
-/** A caller's clock may run slower than ours by this share: its ages are stretched by it. */
+/** A caller's clock may be slower than ours by this share, so stated ages are increased by it. */
 const CLOCK_RATE_MARGIN = 0.01;
 
 /**
- * The keys whose home this entry host is.
+ * The idempotency keys whose home is this entry host.
  *
- * Invariant: a key runs only if it is not in the table and the table has held every key that
- * began since the key's first use. The second half is what a restart breaks: the memory of the
- * earlier incarnation is gone, and a repeat would look like a first send and run again. So the
- * table knows since when it is complete (`#completeSince`), and says `beyond-memory` to every key
- * that may be older. Dropping an entry moves that time forward; the two always move together.
+ * Invariant: a key runs only if it is not in the table and the table contains every key that was
+ * started since the first use of this key. A restart would break the second condition: the memory
+ * of the earlier incarnation is lost, and a repeated request would look like a first one and run
+ * again. The table therefore records since when it is complete (`#completeSince`), and answers
+ * `beyond-memory` for every key that may be older. Dropping an entry always moves this time forward
+ * as well.
  */
 export class KeyTable<A> {
   readonly #limits: KeyTableLimits;
 
-  /** In the order of their first use, because a Map keeps the order of insertion. */
+  /** The entries in order of first use, since a Map keeps the order of insertion. */
   readonly #entries = new Map<string, KeyEntry<A>>();
 
   #completeSince: number;
@@ -70,8 +71,9 @@
   #answerBytes = 0;
 
   /**
-   * @param completeSince - No key of this home began before, except in what the table will hold.
-   *   The start of the process, or -Infinity where no earlier process had this node's name.
+   * @param completeSince - The time before which no key of this home was started, except those that
+   *   are imported later. The start of the process, or -Infinity if no earlier process had this
+   *   node's name.
    */
   constructor(limits: KeyTableLimits, completeSince: number) {
     this.#limits = limits;
@@ -82,24 +84,24 @@
     return this.#entries.size;
   }
 
-  /** Says that no earlier incarnation of this home ever ran a key. Only before the first `begin`. */
+  /** Declares that no earlier incarnation of this home ran a key. Only before the first `start`. */
   assumeNoEarlierHome(): void {
     this.#completeSince = -Infinity;
   }
 
-  /** Everything a successor must know. A key that still runs may run to its end: `unknown`. */
+  /** Returns the memory for a successor. A key that still runs may complete, so it is `unknown`. */
   export(now: number): KeyMemory {
     const keys = [...this.#entries].map(([key, { fingerprint, firstAt, state }]) => {
       const ended = state === 'answered' || state === 'ran';
       return { key, fingerprint, ageMs: now - firstAt, state: ended ? 'ran' : 'unknown' } as const;
     });
-    const reach = now - this.#completeSince;
-    return { completeForMs: Number.isFinite(reach) ? reach : null, keys };
+    const completeDurationMs = now - this.#completeSince;
+    return { completeForMs: Number.isFinite(completeDurationMs) ? completeDurationMs : null, keys };
   }
 
   /**
-   * Takes over the memory of the direct predecessor, which ended after it was exported. Only
-   * before the first `begin`.
+   * Imports the memory of the direct predecessor, which ended after the export. Only before the
+   * first `start`.
    *
    * @param heldMs - The time since the export; too small a value only shortens the memory.
    */
@@ -112,24 +114,26 @@
   }
 
   /**
-   * @param ageMs - The time since the caller first sent the key, by the caller's word; undefined
-   *   where it does not say: then the key may be as old as the window.
+   * Decides on a request and, if it is to run, adds its key.
+   *
+   * @param ageMs - The time since the caller first sent the key, as stated by the caller; undefined
+   *   if not stated, in which case the key may be as old as the window.
    */
   start(key: string, fingerprint: string, ageMs: number | undefined, now: number): KeyVerdict<A> {
-    const known = this.#entries.get(key);
-    if (known) return verdictOf(known, fingerprint);
+    const existing = this.#entries.get(key);
+    if (existing) return verdictOf(existing, fingerprint);
     this.#dropOld(now);
     const { windowMs, maxDelayMs } = this.#limits;
     const age = ageMs === undefined ? windowMs : ageMs * (1 + CLOCK_RATE_MARGIN);
-    // A send that was held up states an age from before: a later send of the key may have run
-    // at the earlier incarnation meanwhile. So even an age of 0 counts from before the delay.
+    // A delayed send states its age from before the delay. A later send of the key may have run at
+    // the earlier incarnation in the meantime, so even an age of 0 counts from before the delay.
     const firstUse = now - age - maxDelayMs;
     if (firstUse < this.#completeSince) return { type: 'beyond-memory' };
     this.#entries.set(key, { fingerprint, firstAt: now, state: 'running', bytes: 0 });
     return { type: 'run' };
   }
 
-  /** Takes down how the run ended. A key that did not run is forgotten: it may run later. */
+  /** Records how the run ended. A key that did not run is forgotten, because it may run later. */
   end(key: string, end: RunOutcome<A>): void {
     const entry = this.#entries.get(key);
     if (!entry) return;
@@ -144,7 +148,7 @@
     }
   }
 
-  /** How long until a key without a stated age is taken again; 0 where it is. */
+  /** Returns the time until keys without a stated age are accepted; 0 if they are now. */
   memoryGapMs(now: number): number {
     const { windowMs, maxDelayMs } = this.#limits;
     return Math.max(0, this.#completeSince + windowMs + maxDelayMs - now);
@@ -152,12 +156,13 @@
 
   #dropOld(now: number): void {
     const { windowMs, maxDelayMs, maxKeys } = this.#limits;
-    // Kept past the oldest first use that `begin` accepts, or a drop would shut out new keys.
+    // Entries are kept past the oldest first use that `start` accepts. Otherwise dropping one would
+    // cause new keys to be refused.
     const keepMs = windowMs + 2 * maxDelayMs;
     for (const [key, entry] of this.#entries) {
       const expired = now - entry.firstAt > keepMs;
       if (!expired && this.#entries.size < maxKeys) return;
-      // A running key stays: forgetting it would let its repeat run beside it.
+      // A running key is kept: without it, a repeated request would run concurrently.
       if (entry.state !== 'running') {
         this.#entries.delete(key);
         this.#answerBytes -= entry.bytes;
@@ -166,7 +171,7 @@
     }
   }
 
-  /** Oldest answers go first; that the key ran is still known. */
+  /** Drops the oldest answers first. The table still records that these keys ran. */
   #dropAnswers(): void {
     for (const entry of this.#entries.values()) {
       if (this.#answerBytes <= this.#limits.maxAnswerBytes) return;
--- a/packages/decisions/src/requests/retry-budget.ts
+++ b/packages/decisions/src/requests/retry-budget.ts
@@ -1,31 +1,32 @@
-/** Retries that each request earns: one in ten requests may be sent a second time. */
-const EARNED_PER_REQUEST = 0.1;
+/** Tokens added per request: one in ten requests may be sent a second time. */
+const TOKENS_PER_REQUEST = 0.1;
 
-/** What may be saved up, so that a lull does not allow a storm afterwards. */
-const MAX_SAVED = 10;
+/** Maximum number of tokens, so that a quiet period does not permit a burst of retries later. */
+const MAX_TOKENS = 10;
 
 /**
- * A token bucket of retries, filled by requests.
+ * A token bucket that limits retries and is filled by requests.
  *
- * Invariant: over any span, retries <= 0.1 x requests + 10. An outage makes every request want a
- * retry; without the bucket the load on what is left would double just when it is short.
+ * Invariant: over any period, retries <= 0.1 x requests + 10. In an outage every request needs a
+ * retry; without the bucket, the load on the remaining endpoints would double just when capacity is
+ * short.
  */
 export class RetryBudget {
-  #saved = MAX_SAVED;
+  #tokens = MAX_TOKENS;
 
-  /** Counts a request that came in. */
+  /** Counts an incoming request. */
   addRequest(): void {
-    this.#saved = Math.min(MAX_SAVED, this.#saved + EARNED_PER_REQUEST);
+    this.#tokens = Math.min(MAX_TOKENS, this.#tokens + TOKENS_PER_REQUEST);
   }
 
   get hasToken(): boolean {
-    return this.#saved >= 1;
+    return this.#tokens >= 1;
   }
 
-  /** @returns Whether a retry is allowed; it is then spent. */
+  /** @returns Whether a retry is allowed; its token is then consumed. */
   takeToken(): boolean {
     if (!this.hasToken) return false;
-    this.#saved -= 1;
+    this.#tokens -= 1;
     return true;
   }
 }
--- a/packages/decisions/src/requests/service-rate.ts
+++ b/packages/decisions/src/requests/service-rate.ts
@@ -1,7 +1,7 @@
-/** The weight of a new sample in the running mean. */
+/** The weight of a new sample in the moving average. */
 const SAMPLE_WEIGHT = 0.05;
 
-/** Measures how long requests of a service occupy a slot. */
+/** Measures how long the requests of a service occupy a slot. */
 export class ServiceRate {
   #meanMs: number | undefined;
 
@@ -16,8 +16,9 @@
   }
 
   /**
-   * How long until so many requests have been taken up, when `capacity` slots are all in use:
-   * by Little's law they come free at capacity / mean per millisecond.
+   * Estimates the time until the given number of requests have been started when all `capacity`
+   * slots are in use: by Little's law, slots become free at a rate of capacity / mean per
+   * millisecond.
    *
    * @returns Milliseconds, or undefined before the first answer.
    */
--- a/packages/decisions/src/routing-table.ts
+++ b/packages/decisions/src/routing-table.ts
@@ -1,7 +1,7 @@
 import type { Manifest, Service } from '@redwingcrank/protocol';
 import type { ControlFold } from './control-fold.js';
 
-/** Where one running instance of a service listens. */
+/** The address of one running instance of a service. */
 export interface Endpoint {
   /** `ip:port`. */
   readonly address: string;
@@ -10,7 +10,7 @@
   readonly hostId: string;
 }
 
-/** The service whose path prefix covers a path, or undefined. */
+/** Returns the service whose path prefix matches a path, or undefined. */
 export function serviceOfPath(manifest: Manifest, path: string): Service | undefined {
   const end = path.slice(1).search(/[/?]/);
   const prefix = end < 0 ? path : path.slice(0, end + 1);
@@ -18,10 +18,11 @@
 }
 
 /**
- * The endpoints of a service in one data centre. A host that is leaving receives no new work,
- * so its endpoints are left out as soon as the platform's list or the control stream says so.
+ * Yields the endpoints of a service in one data centre. A leaving host receives no new requests:
+ * its endpoints are omitted as soon as the platform's list or the control stream shows it as
+ * leaving.
  *
- * @param leaving - Hosts that the platform's list shows as leaving.
+ * @param leaving - The ids of hosts that the platform's list shows as leaving.
  */
 export function* endpointsOf(
   fold: ControlFold,
--- a/packages/decisions/src/snapshot-parts.ts
+++ b/packages/decisions/src/snapshot-parts.ts
@@ -1,15 +1,15 @@
 import type { SnapshotPart } from '@redwingcrank/protocol';
 import { MAX_SNAPSHOT_PARTS, SNAPSHOT_PART_CHARS } from '@redwingcrank/protocol';
 
-/** Snapshots whose parts are still coming in; more are being written only by mistake. */
-const OPEN_SNAPSHOTS = 8;
+/** Maximum number of incomplete snapshots kept; more are written at once only by mistake. */
+const MAX_OPEN_SNAPSHOTS = 8;
 
 /**
- * Cuts a state into parts.
+ * Splits a state into the parts of a snapshot.
  *
- * @param id - Names this snapshot; never used again.
- * @param state - Plain data with the offset up to which it was read.
- * @throws RangeError where the state is larger than a snapshot may be.
+ * @param id - The id of the snapshot, which must never be reused.
+ * @param state - Plain data with the offset up to which records were folded.
+ * @throws RangeError if the state exceeds the maximum size of a snapshot.
  */
 export function* splitSnapshot(
   id: string,
@@ -17,7 +17,8 @@
 ): Generator<SnapshotPart> {
   const text = JSON.stringify(state);
   const parts = Math.ceil(text.length / SNAPSHOT_PART_CHARS);
-  if (parts > MAX_SNAPSHOT_PARTS) throw new RangeError(`a snapshot of ${parts} parts`);
+  if (parts > MAX_SNAPSHOT_PARTS)
+    throw new RangeError(`snapshot exceeds the size limit with ${parts} parts`);
   for (let part = 0; part < parts; part += 1) {
     const start = part * SNAPSHOT_PART_CHARS;
     const data = text.slice(start, start + SNAPSHOT_PART_CHARS);
@@ -31,15 +32,15 @@
   readonly data: Map<number, string>;
 }
 
-/** A snapshot whose parts are all there. */
+/** A snapshot of which all parts have been received. */
 export interface CompleteSnapshot {
   readonly upTo: number;
   readonly text: string;
 }
 
 /**
- * Puts snapshots together. One whose writer died half-way never becomes whole, so that no reader
- * starts from a part of a state.
+ * Assembles snapshots from their parts. A snapshot whose writer crashed before the last part is
+ * never complete, so no reader starts from a partial state.
  */
 export class SnapshotCollector {
   readonly #open = new Map<string, OpenSnapshot>();
@@ -62,7 +63,7 @@
     const open = { parts, upTo, data: new Map<number, string>() };
     this.#open.set(id, open);
     const [oldest] = this.#open.keys();
-    if (this.#open.size > OPEN_SNAPSHOTS && oldest !== undefined) this.#open.delete(oldest);
+    if (this.#open.size > MAX_OPEN_SNAPSHOTS && oldest !== undefined) this.#open.delete(oldest);
     return open;
   }
 }
--- a/packages/decisions/src/stream-fold.ts
+++ b/packages/decisions/src/stream-fold.ts
@@ -1,20 +1,20 @@
-/** A deterministic fold of one stream that can be written down and taken up again. */
+/** A deterministic fold of one stream whose state can be saved and restored. */
 export interface StreamFold<S extends { readonly offset: number }, V> {
-  /** The offset of the last record folded; -1 before the first. */
+  /** The offset of the last folded record; -1 before the first. */
   readonly offset: number;
 
-  /** Takes the next record. */
+  /** Folds the next record. */
   apply(offset: number, value: unknown): V;
 
-  /** Takes note of a record that decides nothing. */
+  /** Advances the offset past a record that is not a decision. */
   skip(offset: number): void;
 
-  /** The whole state as plain data. */
+  /** Returns the complete state as plain data. */
   toSnapshot(): S;
 
-  /** Whether the state may follow this one: it must not go back on what is already in force. */
+  /** Returns whether a state may replace this one; it must not revert what is already in force. */
   mayRestore(state: S): boolean;
 
-  /** Puts a state in place of this one. */
+  /** Replaces the state of this fold. */
   restore(state: S): void;
 }
--- a/packages/decisions/src/stream-reader.ts
+++ b/packages/decisions/src/stream-reader.ts
@@ -6,12 +6,12 @@
 import type { StreamFold } from './stream-fold.js';
 
 /**
- * Reads one stream into a fold, also where the log no longer has the stream's beginning.
+ * Reads one stream into a fold, even if the log no longer contains the start of the stream.
  *
- * Invariant: while `complete`, the fold is in the state that reading every record of the stream
- * up to its offset gives. After a gap nothing is folded until a state of a known offset is there
- * (a snapshot on the log, or a peer's state) and every record after that offset is at hand. A
- * record that was folded on top of an older state could come into force here and nowhere else.
+ * Invariant: while `complete`, the fold is in the state that results from folding every record of
+ * the stream up to its offset. After a gap, nothing is folded until there is a state of a known
+ * offset (a snapshot in the log, or the state of a peer) and every record after that offset. A
+ * record that was folded on top of an older state could take effect on this node and on no other.
  */
 export class StreamReader<S extends { readonly offset: number }, V> {
   readonly #fold: StreamFold<S, V>;
@@ -20,10 +20,10 @@
 
   readonly #collector = new SnapshotCollector();
 
-  /** The records read since a gap; undefined while nothing is missing. */
-  #held: LogEntry[] | undefined;
+  /** The records read since a gap; undefined if there is no gap. */
+  #pending: LogEntry[] | undefined;
 
-  #heldFrom = 0;
+  #pendingFrom = 0;
 
   #snapshotOffset = -1;
 
@@ -32,49 +32,49 @@
     this.#schema = schema;
   }
 
-  /** Whether the fold lacks nothing of what was read. No decision is made while it does. */
+  /** Whether the fold includes all records up to its offset; otherwise no decisions are made. */
   get complete(): boolean {
-    return this.#held === undefined;
+    return this.#pending === undefined;
   }
 
-  /** Where the newest whole snapshot ended; -1 before the first. */
+  /** The offset of the last part of the newest complete snapshot; -1 before the first. */
   get snapshotOffset(): number {
     return this.#snapshotOffset;
   }
 
-  /** The state for a snapshot or a peer; undefined while something is missing or nothing is there. */
+  /** Returns the state for a snapshot or a peer; undefined if it is incomplete or empty. */
   state(): S | undefined {
     return this.complete && this.#fold.offset >= 0 ? this.#fold.toSnapshot() : undefined;
   }
 
   /**
-   * Takes note that the records before `first` have expired.
+   * Handles the expiry of the records before `first`.
    *
-   * @returns Whether any of them is missing here.
+   * @returns Whether this reader has not read all of them.
    */
   lost(first: number): boolean {
     if (this.complete && first <= this.#fold.offset + 1) return false;
-    this.#held = [];
-    this.#heldFrom = first;
+    this.#pending = [];
+    this.#pendingFrom = first;
     return true;
   }
 
   /**
-   * Takes the next record of the stream.
+   * Handles the next record of the stream.
    *
-   * @returns What became of each record that was folded.
+   * @returns The result of each record that was folded.
    */
   take(entry: LogEntry): V[] {
     const snapshot = this.#collect(entry);
-    if (!this.#held) return this.#foldIn(entry);
-    this.#held.push(entry);
+    if (!this.#pending) return this.#foldEntry(entry);
+    this.#pending.push(entry);
     return snapshot ? this.#recover(snapshot) : [];
   }
 
   /**
-   * Takes over a state that another reader reached.
+   * Adopts the state of another reader.
    *
-   * @returns Whether it was taken; not where it is older, or where records after it are missing.
+   * @returns Whether it was adopted; not if it is older, or if records after it are missing.
    */
   adopt(input: unknown): boolean {
     const reading = this.#schema.safeParse(input);
@@ -85,13 +85,13 @@
 
   #collect({ offset, value }: LogEntry): CompleteSnapshot | undefined {
     const part = snapshotPartSchema.safeParse(value);
-    const whole = part.success ? this.#collector.take(part.data) : undefined;
-    if (whole) this.#snapshotOffset = offset;
-    return whole;
+    const complete = part.success ? this.#collector.take(part.data) : undefined;
+    if (complete) this.#snapshotOffset = offset;
+    return complete;
   }
 
-  #foldIn({ offset, value }: LogEntry): V[] {
-    // A state that was taken over already holds the records up to its offset.
+  #foldEntry({ offset, value }: LogEntry): V[] {
+    // An adopted state already includes the records up to its offset.
     if (offset <= this.#fold.offset) return [];
     if (!snapshotPartSchema.safeParse(value).success) return [this.#fold.apply(offset, value)];
     this.#fold.skip(offset);
@@ -105,13 +105,13 @@
   }
 
   #restore(state: S): V[] | undefined {
-    // A record between the state and the oldest one held may have changed what is in force.
-    if (this.#held && state.offset < this.#heldFrom - 1) return undefined;
+    // A record between the state and the oldest pending record may have changed what is in force.
+    if (this.#pending && state.offset < this.#pendingFrom - 1) return undefined;
     if (!this.#fold.mayRestore(state)) return undefined;
     this.#fold.restore(state);
-    const later = this.#held ?? [];
-    this.#held = undefined;
-    return later.flatMap((entry) => this.#foldIn(entry));
+    const pending = this.#pending ?? [];
+    this.#pending = undefined;
+    return pending.flatMap((entry) => this.#foldEntry(entry));
   }
 }
 
