--- a/packages/decisions/src/test/colocation_test.ts
+++ b/packages/decisions/src/test/colocation_test.ts
@@ -14,22 +14,22 @@
 class Scenario {
   readonly colocation = new Colocation();
 
-  readonly world: Harness;
+  readonly harness: Harness;
 
   nowMs = 0;
 
   constructor(loudTasks = 2, quietTasks = 2) {
     const jobs = [job('loud-1', loudTasks, 4), job('quiet-1', quietTasks, 4)];
-    this.world = new Harness(hosts(1, 1), { services: [service('slow', 1, 8)], jobs });
-    this.world.pass();
-    for (const { taskId, attempt } of this.world.fold.tasks.values()) {
-      this.world.apply([{ type: 'running', taskId, attempt }]);
+    this.harness = new Harness(hosts(1, 1), { services: [service('slow', 1, 8)], jobs });
+    this.harness.pass();
+    for (const { taskId, attempt } of this.harness.fold.tasks.values()) {
+      this.harness.apply([{ type: 'running', taskId, attempt }]);
     }
   }
 
   /** Returns a report of the current state of the host; `latencyRatio` is latency over target. */
   report(latencyRatio?: number): WorkerReport {
-    const tasks = [...this.world.fold.tasks.values()].filter((task) => task.state === 'running');
+    const tasks = [...this.harness.fold.tasks.values()].filter((task) => task.state === 'running');
     const used = tasks.map((task) => task.resources.cpu * this.colocation.shareOf(task));
     const loud = tasks.reduce((sum, t, i) => sum + (t.owner === 'loud-1' ? (used[i] ?? 0) : 0), 0);
     const latencyMs = 100 * (latencyRatio ?? 0.5 + (LOUD_COST * loud) / 32);
@@ -46,7 +46,7 @@
 
   /** Observes a report and returns the owners of the tasks to move. */
   review(report = this.report()): string[] {
-    const { fold, manifest } = this.world;
+    const { fold, manifest } = this.harness;
     this.nowMs += ROUND_MS;
     this.colocation.observe(fold, manifest, report, this.nowMs);
     return [...this.colocation.review(fold, this.nowMs)].map(
@@ -55,7 +55,7 @@
   }
 
   share(owner: string): number {
-    const task = this.world.fold.tasks.get(`dc1/${owner}/0`);
+    const task = this.harness.fold.tasks.get(`dc1/${owner}/0`);
     return task ? this.colocation.shareOf(task) : NaN;
   }
 }
@@ -110,22 +110,22 @@
   const { model } = scenario.colocation;
   assert.ok(model.cost('slow', 'loud') > 1.5, `loud ${model.cost('slow', 'loud')}`);
   assert.ok(model.cost('slow', 'quiet') < 0.5, `quiet ${model.cost('slow', 'quiet')}`);
-  const { world } = scenario;
-  const jobs = [...world.manifest.jobs, job('loud-2', 2, 4), job('quiet-2', 1, 4)];
-  world.manifest = { ...world.manifest, jobs };
-  const policy = new ColocationFit(world.fold, model);
-  const bound = world
-    .pass({ ...world.input(), policy })
+  const { harness } = scenario;
+  const jobs = [...harness.manifest.jobs, job('loud-2', 2, 4), job('quiet-2', 1, 4)];
+  harness.manifest = { ...harness.manifest, jobs };
+  const policy = new ColocationFit(harness.fold, model);
+  const bound = harness
+    .pass({ ...harness.input(), policy })
     .flatMap((a) => (a.type === 'bind' ? [a.owner] : []));
   assert.deepEqual(bound, ['quiet-2']);
   assert.deepEqual(
-    world.unplaced.map(({ owner, count, reason }) => [owner, count, reason]),
+    harness.unplaced.map(({ owner, count, reason }) => [owner, count, reason]),
     [['loud-2', 2, 'kept-apart']],
   );
   // An urgent job does not wait for a better host.
   const urgent = job('loud-3', 1, 4, { urgent: true });
-  world.manifest = { ...world.manifest, jobs: [...jobs, urgent] };
-  const placed = world.pass({ ...world.input(), policy });
+  harness.manifest = { ...harness.manifest, jobs: [...jobs, urgent] };
+  const placed = harness.pass({ ...harness.input(), policy });
   assert.deepEqual(
     placed.map((action) => action.type === 'bind' && action.owner),
     ['loud-3'],
--- a/packages/decisions/src/test/explain_test.ts
+++ b/packages/decisions/src/test/explain_test.ts
@@ -12,14 +12,14 @@
   return explanation?.reasons.find(isOfCode);
 }
 
-test('each state of a task has its reasons', () => {
+test('every state of a task is explained by its reasons', () => {
   const jobs = [job('full', 3, 10), job('huge', 1, 99), job('failing', 1, 1, { maxAttempts: 1 })];
-  const world = new Harness(hosts(2, 1, 16), { services: [service('s', 2)], jobs });
-  world.pass();
-  world.end('dc1/failing/0', 1, 'failed');
-  world.pass();
+  const harness = new Harness(hosts(2, 1, 16), { services: [service('s', 2)], jobs });
+  harness.pass();
+  harness.end('dc1/failing/0', 1, 'failed');
+  harness.pass();
   const explain = (taskId: string): TaskExplanation | undefined =>
-    explainTask(world.input(), world.unplaced, taskId);
+    explainTask(harness.input(), harness.unplaced, taskId);
 
   const replica = explain('dc1/s/0');
   assert.equal(replica?.status, 'starting');
@@ -40,8 +40,8 @@
   assert.equal(failed?.status, 'given-up');
   assert.equal(reason(failed, 'last-attempt')?.outcome, 'failed');
 
-  world.manifest = { ...world.manifest, jobs: [] };
-  world.pass();
+  harness.manifest = { ...harness.manifest, jobs: [] };
+  harness.pass();
   assert.equal(reason(explain('dc1/full/0'), 'revoked')?.reason, 'full is not in the manifest');
   assert.equal(explain('dc1/nothing/0'), undefined);
 });
--- a/packages/decisions/src/test/host-health_test.ts
+++ b/packages/decisions/src/test/host-health_test.ts
@@ -5,25 +5,25 @@
 
 const STEP_MS = 10_000;
 
-/** Runs passes; every attempt ends before the next one, as `fails` says. */
+/** Runs passes. Every attempt ends before the next pass, as determined by `fails`. */
 function run(
-  world: Harness,
+  harness: Harness,
   memory: SchedulingMemory,
   until: number,
-  fails: (hostId: string, owner: string) => boolean,
+  shouldFail: (hostId: string, owner: string) => boolean,
 ): number {
   let failures = 0;
-  for (; world.nowMs < until; world.nowMs += STEP_MS) {
-    world.pass({ ...world.input(), nowMs: world.nowMs, memory });
-    for (const task of [...world.fold.tasks.values()].filter((t) => t.state !== 'ended')) {
+  for (; harness.nowMs < until; harness.nowMs += STEP_MS) {
+    harness.pass({ ...harness.input(), nowMs: harness.nowMs, memory });
+    for (const task of [...harness.fold.tasks.values()].filter((t) => t.state !== 'ended')) {
       const { taskId, attempt, hostId, owner } = task;
-      const outcome = fails(hostId, owner) ? 'failed' : 'completed';
+      const outcome = shouldFail(hostId, owner) ? 'failed' : 'completed';
       memory.ended(
-        world.fold,
+        harness.fold,
         { type: 'ended', taskId, attempt, outcome, proof: 'worker' },
-        world.nowMs,
+        harness.nowMs,
       );
-      world.end(taskId, attempt, outcome);
+      harness.end(taskId, attempt, outcome);
       failures += outcome === 'failed' ? 1 : 0;
     }
   }
@@ -32,48 +32,49 @@
 
 const jobs = Array.from({ length: 20 }, (_, i) => job(`j${i}`, 400, 2, { maxAttempts: 50 }));
 
-test('a worker that fails all it starts is closed, probed, and opened once it works', () => {
-  // A worker fails every attempt at once, so it always has room, and best fit keeps sending it
-  // work: batch jobs lose attempt after attempt there while nine good workers stand beside it.
-  const world = new Harness(hosts(10, 5, 4), { jobs });
+test('a worker that fails every attempt is quarantined, probed, and released once it works', () => {
+  // A worker fails every attempt at once, so it always has free capacity and best fit keeps placing
+  // tasks on it. Without quarantine, batch jobs lose attempt after attempt there although nine
+  // healthy workers are available.
+  const harness = new Harness(hosts(10, 5, 4), { jobs });
   const memory = new SchedulingMemory();
-  const bad = (hostId: string): boolean => hostId === 'w3';
-  const failures = run(world, memory, 600_000, bad);
+  const isFaulty = (hostId: string): boolean => hostId === 'w3';
+  const failures = run(harness, memory, 600_000, isFaulty);
   assert.deepEqual([...memory.health.quarantined.keys()], ['w3']);
   assert.ok(failures < 15, `${failures} of 120 possible failures`);
-  run(world, memory, 1_800_000, () => false);
+  run(harness, memory, 1_800_000, () => false);
   assert.deepEqual([...memory.health.quarantined.keys()], []);
 });
 
-test('a job that fails everywhere closes no worker', () => {
+test('a job that fails everywhere causes no quarantine', () => {
   const broken = job('broken', 40, 2, { maxAttempts: 50 });
-  const world = new Harness(hosts(10, 5, 4), { jobs: [broken, ...jobs.slice(0, 4)] });
+  const harness = new Harness(hosts(10, 5, 4), { jobs: [broken, ...jobs.slice(0, 4)] });
   const memory = new SchedulingMemory();
-  let closed = 0;
+  let maxQuarantined = 0;
   for (let until = STEP_MS; until <= 600_000; until += STEP_MS) {
-    run(world, memory, until, (_host, owner) => owner === 'broken');
-    closed = Math.max(closed, memory.health.quarantined.size);
+    run(harness, memory, until, (_host, owner) => owner === 'broken');
+    maxQuarantined = Math.max(maxQuarantined, memory.health.quarantined.size);
   }
-  assert.equal(closed, 0);
+  assert.equal(maxQuarantined, 0);
 });
 
-test('a bad worker is told from bad jobs before any job has completed', () => {
-  // Jobs run for an hour, so no attempt completes anywhere for long. What fails on one worker
-  // and goes on running on the others must be enough, or the worker eats attempt after attempt.
-  const long = jobs.map((each) => ({ ...each, tasks: 4 }));
-  const world = new Harness(hosts(10, 5, 4), { jobs: long });
+test('a faulty worker is distinguished from faulty jobs before any job has completed', () => {
+  // Jobs run for an hour, so no attempt completes for a long time. Failures on one worker and
+  // attempts that keep running on others must suffice, or the worker fails attempt after attempt.
+  const longJobs = jobs.map((each) => ({ ...each, tasks: 4 }));
+  const harness = new Harness(hosts(10, 5, 4), { jobs: longJobs });
   const memory = new SchedulingMemory();
   let failures = 0;
-  for (; world.nowMs < 600_000; world.nowMs += STEP_MS) {
-    world.pass({ ...world.input(), nowMs: world.nowMs, memory });
-    for (const { taskId, attempt, hostId, state } of [...world.fold.tasks.values()]) {
+  for (; harness.nowMs < 600_000; harness.nowMs += STEP_MS) {
+    harness.pass({ ...harness.input(), nowMs: harness.nowMs, memory });
+    for (const { taskId, attempt, hostId, state } of [...harness.fold.tasks.values()]) {
       if (state === 'bound' && hostId === 'w3') {
         const ref = { taskId, attempt, outcome: 'failed', proof: 'worker' } as const;
-        memory.ended(world.fold, { type: 'ended', ...ref }, world.nowMs);
-        world.end(taskId, attempt, 'failed');
+        memory.ended(harness.fold, { type: 'ended', ...ref }, harness.nowMs);
+        harness.end(taskId, attempt, 'failed');
         failures += 1;
       } else if (state === 'bound') {
-        world.apply([{ type: 'running', taskId, attempt }]);
+        harness.apply([{ type: 'running', taskId, attempt }]);
       }
     }
   }
--- a/packages/decisions/src/test/lease-expiry-tracker_test.ts
+++ b/packages/decisions/src/test/lease-expiry-tracker_test.ts
@@ -4,21 +4,21 @@
 import { ControlFold, LeaseExpiryTracker } from '../index.js';
 
 const TIMING = { leaseMs: 1000, staleMs: 5000 };
-const STRETCH = 1.025;
-const LEASE = TIMING.leaseMs * STRETCH;
-const STALE = TIMING.staleMs * STRETCH;
+const DRIFT_FACTOR = 1.025;
+const LEASE = TIMING.leaseMs * DRIFT_FACTOR;
+const STALE = TIMING.staleMs * DRIFT_FACTOR;
 
-/** When the watch began; long ago, so that history is no concern. */
-const BEGAN = -100_000;
+/** When the tracker started; long ago, so that memberships before its start do not matter. */
+const STARTED_AT = -100_000;
 const NOW = 0;
 
 /** A fold in which `me` holds the term and one attempt has been revoked. */
-class Script {
+class Scenario {
   readonly fold = new ControlFold();
 
-  readonly watch = new LeaseExpiryTracker(TIMING, BEGAN);
+  readonly tracker = new LeaseExpiryTracker(TIMING, STARTED_AT);
 
-  #now = BEGAN;
+  #now = STARTED_AT;
 
   constructor(onOutage: 'keep' | 'checkpoint') {
     this.join('me').join('peer');
@@ -46,66 +46,69 @@
 
   apply(record: ControlRecord): this {
     const { left = [] } = this.fold.apply(this.fold.offset + 1, record);
-    this.watch.onMembersLeft(left, this.#now);
+    this.tracker.onMembersLeft(left, this.#now);
     return this;
   }
 
-  hears(nodeId: string, at: number, controlOffset = this.fold.offset): this {
-    this.watch.onHello({ nodeId, incarnation: '1', controlOffset, at });
+  receiveHello(nodeId: string, at: number, controlOffset = this.fold.offset): this {
+    this.tracker.onHello({ nodeId, incarnation: '1', controlOffset, at });
     return this;
   }
 
-  isOver(now: number): boolean {
-    return [...this.watch.expiredAttempts(this.fold, 'me/1', now)].length > 0;
+  isExpired(now: number): boolean {
+    return [...this.tracker.expiredAttempts(this.fold, 'me/1', now)].length > 0;
   }
 }
 
-/** Says when the attempt counts as over: just before it must not, just after it must. */
-function assertOverAt(script: Script, at: number): void {
-  assert.equal(script.isOver(NOW), false);
-  assert.equal(script.isOver(at - 1), false, `not over before ${at}`);
-  assert.equal(script.isOver(at + 1), true, `over after ${at}`);
+/** Asserts that the lease has not expired just before the given time but has just after it. */
+function assertExpiresAt(scenario: Scenario, at: number): void {
+  assert.equal(scenario.isExpired(NOW), false);
+  assert.equal(scenario.isExpired(at - 1), false, `expired before ${at}`);
+  assert.equal(scenario.isExpired(at + 1), true, `not expired after ${at}`);
 }
 
-test('a lease is waited out from the promise of the last member', () => {
-  assertOverAt(new Script('checkpoint').revoke().hears('peer', 300), 300 + LEASE);
+test('a lease expires one lease duration after the acknowledgement of the last member', () => {
+  assertExpiresAt(new Scenario('checkpoint').revoke().receiveHello('peer', 300), 300 + LEASE);
 });
 
-test('a member that is not heard is waited out until it must have stopped by itself', () => {
-  // The peer is cut off from everybody but the worker, and renews until its read is too old.
-  assertOverAt(new Script('checkpoint').revoke(), STALE + LEASE);
+test('a silent member may renew the lease until its log read is too old', () => {
+  // The peer is cut off from all nodes but the worker, and renews until its read is too old.
+  assertExpiresAt(new Scenario('checkpoint').revoke(), STALE + LEASE);
 });
 
-test('a hello that is older than the revocation promises nothing', () => {
-  const script = new Script('checkpoint').revoke();
-  assertOverAt(script.hears('peer', 300, script.fold.offset - 1), STALE + LEASE);
+test('a hello from before the revocation is no acknowledgement', () => {
+  const scenario = new Scenario('checkpoint').revoke();
+  assertExpiresAt(scenario.receiveHello('peer', 300, scenario.fold.offset - 1), STALE + LEASE);
 });
 
-test('a member that has just left is waited out as well', () => {
-  // It may not have read that it left. Were it not counted, its last renewals would outlive the
-  // wait, and the task would run twice.
+test('a member that has just left may still renew the lease', () => {
+  // The member may not have read that it left. Without waiting for it, its last renewals would
+  // outlast the wait, and the task would run twice.
   const leave: ControlAction = { type: 'leave', nodeId: 'peer', incarnation: '1' };
-  assertOverAt(new Script('checkpoint').revoke().batch(leave), STALE + LEASE);
+  assertExpiresAt(new Scenario('checkpoint').revoke().batch(leave), STALE + LEASE);
 });
 
-test('a restarted member owes no promise for what its last process renewed, but time', () => {
-  assertOverAt(new Script('checkpoint').revoke().join('peer', '2').hears('peer', 9), 9 + LEASE);
-  assertOverAt(new Script('checkpoint').revoke().join('peer', '2'), STALE + LEASE);
+test('the previous process of a restarted member is waited out unless it has acknowledged', () => {
+  assertExpiresAt(
+    new Scenario('checkpoint').revoke().join('peer', '2').receiveHello('peer', 9),
+    9 + LEASE,
+  );
+  assertExpiresAt(new Scenario('checkpoint').revoke().join('peer', '2'), STALE + LEASE);
 });
 
-test('a process that took over a whole state does not know who left before', () => {
-  const script = new Script('checkpoint').revoke().hears('peer', 300);
-  script.watch.onRestored(200);
-  assertOverAt(script, 200 + STALE + LEASE);
+test('after a snapshot was restored, members that left earlier are waited for', () => {
+  const scenario = new Scenario('checkpoint').revoke().receiveHello('peer', 300);
+  scenario.tracker.onRestored(200);
+  assertExpiresAt(scenario, 200 + STALE + LEASE);
 });
 
-test('time proves nothing about a task that is renewed without the log', () => {
-  const silent = new Script('keep').revoke();
-  assert.equal(silent.isOver(NOW), false);
-  assert.equal(silent.isOver(1e9), false);
-  assertOverAt(new Script('keep').revoke().hears('peer', 300), 300 + LEASE);
-  // A process that has left may be renewing still, whatever the one in its place has promised.
-  const replaced = new Script('keep').revoke().join('peer', '2').hears('peer', 300);
-  assert.equal(replaced.isOver(NOW), false);
-  assert.equal(replaced.isOver(1e9), false);
+test('elapsed time proves nothing about a task that is renewed without the log', () => {
+  const withoutHello = new Scenario('keep').revoke();
+  assert.equal(withoutHello.isExpired(NOW), false);
+  assert.equal(withoutHello.isExpired(1e9), false);
+  assertExpiresAt(new Scenario('keep').revoke().receiveHello('peer', 300), 300 + LEASE);
+  // A process that has left may still renew the lease, whatever its successor has acknowledged.
+  const replaced = new Scenario('keep').revoke().join('peer', '2').receiveHello('peer', 300);
+  assert.equal(replaced.isExpired(NOW), false);
+  assert.equal(replaced.isExpired(1e9), false);
 });
--- a/packages/decisions/src/test/manifest-fold_test.ts
+++ b/packages/decisions/src/test/manifest-fold_test.ts
@@ -15,9 +15,9 @@
   return { type: 'manifest', id, manifest };
 }
 
-test('of two operators who replace the same manifest the first in log order wins', () => {
-  // Both operators see version 1 and publish. The second would silently undo what the first was
-  // already told is in force; it must be rejected by every reader, with the reason.
+test('of two manifests that replace the same version, the first in log order wins', () => {
+  // Two operators see version 1 and publish. The second would silently undo a manifest that the
+  // first operator was already told is in force. Every reader must reject it.
   const fold = new ManifestFold();
   fold.apply(0, record('a', 1, 0));
   fold.apply(1, record('b', 2, 1));
@@ -26,7 +26,7 @@
   assert.equal(fold.version, 2);
 });
 
-test('an old manifest that is replayed does not come back', () => {
+test('a replayed old manifest does not come into force again', () => {
   const fold = new ManifestFold();
   fold.apply(0, record('a', 1, 0));
   fold.apply(1, record('b', 2, 1));
--- a/packages/decisions/src/test/plan-harness.ts
+++ b/packages/decisions/src/test/plan-harness.ts
@@ -55,9 +55,9 @@
   };
 }
 
-const LARGE = { cpu: 1e6, memoryMb: 1e9, accelerators: 1e6 };
+const UNLIMITED = { cpu: 1e6, memoryMb: 1e9, accelerators: 1e6 };
 
-/** A data centre whose decisions are folded as soon as they are made. */
+/** A data centre whose decisions are folded immediately. */
 export class Harness {
   readonly fold = new ControlFold();
 
@@ -78,7 +78,7 @@
       version: 1,
       replaces: 0,
       dataCentres: [DATA_CENTRE],
-      teams: ['a', 'b'].map((name) => ({ name, quota: LARGE, weight: 1 })),
+      teams: ['a', 'b'].map((name) => ({ name, quota: UNLIMITED, weight: 1 })),
       services: [],
       jobs: [],
       ...parts,
@@ -91,7 +91,7 @@
     return { dataCentre: DATA_CENTRE, manifest, fold, listed, policy: new BestFit() };
   }
 
-  /** One pass; returns its actions once they are folded, and throws where any was voided. */
+  /** Runs one pass and folds its actions; throws if any was voided. Returns the actions. */
   pass(input: PlanInput = this.input()): ControlAction[] {
     const steps: PlanStep[] = [...planPass(input)];
     this.unplaced = steps.flatMap((step) => (step.type === 'unplaced' ? [step.unplaced] : []));
@@ -105,7 +105,7 @@
     if (voided.length > 0) throw new Error(`voided: ${voided.join('; ')}`);
   }
 
-  /** Confirms that every attempt that is not to go on has ended. */
+  /** Records that all revoked attempts have ended. */
   endRevoked(): void {
     for (const { taskId, attempt, state } of [...this.fold.tasks.values()]) {
       if (state === 'revoked') this.end(taskId, attempt, 'stopped');
@@ -116,7 +116,7 @@
     this.apply([{ type: 'ended', taskId, attempt, outcome, proof: 'worker' }]);
   }
 
-  /** How many live tasks of an owner each rack has. */
+  /** Returns the number of live tasks of an owner on each rack. */
   perRack(owner: string): Record<string, number> {
     const counts: Record<string, number> = {};
     for (const task of this.fold.tasks.values()) {
--- a/packages/decisions/src/test/requests_test.ts
+++ b/packages/decisions/src/test/requests_test.ts
@@ -15,7 +15,7 @@
   return rate;
 }
 
-test('the queue gives the earliest deadline first and refuses what cannot make its own', () => {
+test('the queue serves the earliest deadline first and refuses requests that would be late', () => {
   // One slot of 50 ms: two requests wait 100 ms, so a third with 120 ms left cannot be answered.
   const queue = new RequestQueue<string>(rateOf(50));
   assert.equal(queue.offer('late', 1_000, 1, 0).type, 'queued');
@@ -24,16 +24,16 @@
   assert.deepEqual([queue.take(), queue.take(), queue.take()], ['early', 'late', undefined]);
 });
 
-test('the queue grows no longer than the wait that it may cost', () => {
-  // 1000 requests at once with ten seconds each: all could make it, yet each that waits adds its
-  // time to all behind it and no throughput.
+test('the length of the queue is limited by the maximum wait', () => {
+  // 1000 requests at once with ten seconds each: all could meet their deadlines, but each waiting
+  // request delays those behind it without adding throughput.
   const queue = new RequestQueue<number>(rateOf(50));
   const slots = 4;
   for (let i = 0; i < 1_000; i += 1) queue.offer(i, 10_000, slots, 0);
   assert.equal(queue.length, (MAX_QUEUE_WAIT_MS * slots) / 50);
 });
 
-test('in an outage one in ten requests is sent again, after the savings', () => {
+test('in an outage one in ten requests is retried once the saved tokens are used up', () => {
   const budget = new RetryBudget();
   let sent = 0;
   for (let i = 0; i < 1_000; i += 1) {
@@ -43,7 +43,7 @@
   assert.ok(sent >= 100 && sent <= 110, `${sent} retries`);
 });
 
-test('an endpoint that goes silent is left out, probed by one request, and comes back', () => {
+test('a silent endpoint is ejected, probed by one request, and reopened', () => {
   const health = new EndpointHealth();
   for (let i = 0; i < 3; i += 1) health.silent('a', 0);
   assert.equal(health.stateOf('a', 1_999), 'ejected');
@@ -57,7 +57,7 @@
   assert.equal(health.stateOf('a', 6_505), 'open');
 });
 
-test('a key that names its data centre has its home there, whoever is asked', () => {
+test('a key that names a data centre has its home there, in whatever order hosts are given', () => {
   const hosts = ['dc1', 'dc2', 'dc3'].flatMap((dataCentre) =>
     ['n1', 'n2'].map((name) => ({ nodeId: `${dataCentre}-${name}`, dataCentre })),
   );
