--- a/packages/decisions/src/charts/request.chart.ts
+++ b/packages/decisions/src/charts/request.chart.ts
@@ -6,6 +6,7 @@
   'waiting' | 'sending' | 'uncertain' | 'sendingAgain' | 'answered' | 'notRun' | 'unknown';
 
 /**
+ * The events of a request:
  * - `send`: the request is sent to an endpoint.
  * - `answer`: the headers of an answer arrived.
  * - `clean`: the send failed and the endpoint certainly did not run the request.
--- a/packages/decisions/src/control-state.ts
+++ b/packages/decisions/src/control-state.ts
@@ -9,7 +9,7 @@
 
 type OnOutage = Manifest['jobs'][number]['onOutage'];
 
-/** A worker's host as the control stream knows it. */
+/** The host of a worker, according to the control stream. */
 export interface HostState {
   readonly hostId: string;
   readonly rack: string;
@@ -63,7 +63,7 @@
 
 /** The result of folding one record. */
 export interface ApplyResult {
-  /** Whether the record was accepted: of the current term, a successful claim, or a join. */
+  /** Whether the record was accepted: a claim, a join, or a batch based on the current state. */
   readonly accepted: boolean;
   /** Why the record or some of its actions were voided; empty if all took effect. */
   readonly voided: readonly string[];
--- a/packages/decisions/src/manifest-fold.ts
+++ b/packages/decisions/src/manifest-fold.ts
@@ -11,7 +11,7 @@
 /** Maximum number of rejections kept for operators; they are part of every snapshot. */
 const MAX_KEPT_REJECTIONS = 50;
 
-/** Maximum detail of a rejection in characters: a bad manifest may have thousands of faults. */
+/** Maximum length of a rejection's detail, in characters: it may list thousands of faults. */
 const MAX_DETAIL_CHARS = 1_000;
 
 /**
--- a/packages/decisions/src/policy/admission.ts
+++ b/packages/decisions/src/policy/admission.ts
@@ -6,7 +6,7 @@
 /** For each period of this length without progress, a job is ranked one tier higher. */
 export const AGING_MS = 600_000;
 
-/** A deadline is at risk when less than this many run times are left after one more run. */
+/** A deadline is at risk when fewer than this many run times are left after one more run. */
 const MIN_SPARE_RUNS = 1;
 
 /** Returns the time left until the job's deadline after one more run, in milliseconds. */
--- a/packages/decisions/src/policy/colocation-fit.ts
+++ b/packages/decisions/src/policy/colocation-fit.ts
@@ -39,10 +39,10 @@
 
   protected override accepts(need: PlacementNeed, host: HostState): boolean {
     const services = new Set<string>();
-    const batchCpuShares = new Map<string, number>();
+    const cpuShares = new Map<string, number>();
     const count = (owner: string, cpu: number): void => {
       const kind = workloadKindOf(owner);
-      batchCpuShares.set(kind, (batchCpuShares.get(kind) ?? 0) + cpu / host.capacity.cpu);
+      cpuShares.set(kind, (cpuShares.get(kind) ?? 0) + cpu / host.capacity.cpu);
     };
     for (const taskId of host.tasks) {
       const task = this.#fold.tasks.get(taskId);
@@ -51,13 +51,11 @@
     }
     for (const { owner, cpu } of this.#placed.get(host.hostId) ?? []) count(owner, cpu);
     if (need.kind === 'job') count(need.owner, need.resources.cpu);
-    else
-      return this.#model.predict(workloadKindOf(need.owner), batchCpuShares) <= MAX_LATENCY_RATIO;
+    else return this.#model.predict(workloadKindOf(need.owner), cpuShares) <= MAX_LATENCY_RATIO;
     for (const service of services) {
       const addsLatency =
         this.#model.cost(service, workloadKindOf(need.owner)) * need.resources.cpu > 1e-3;
-      if (addsLatency && this.#model.predict(service, batchCpuShares) > MAX_LATENCY_RATIO)
-        return false;
+      if (addsLatency && this.#model.predict(service, cpuShares) > MAX_LATENCY_RATIO) return false;
     }
     return true;
   }
--- a/packages/decisions/src/policy/colocation.ts
+++ b/packages/decisions/src/policy/colocation.ts
@@ -71,9 +71,8 @@
       const isHere = task?.hostId === report.hostId && task.attempt === usage.attempt;
       if (task && isHere && usage.latencyMs !== undefined) {
         const target = indexOf(manifest).services.get(task.owner)?.latencyTargetMs;
-        const latencyRatio = target === undefined ? undefined : usage.latencyMs / target;
-        if (latencyRatio !== undefined)
-          this.#addSample(fold, host, { task, usage, latencyRatio, report, nowMs });
+        const ratio = target === undefined ? undefined : usage.latencyMs / target;
+        if (ratio !== undefined) this.#addSample(fold, host, { task, usage, ratio, report, nowMs });
       }
     }
   }
@@ -103,22 +102,25 @@
     sample: {
       task: TaskState;
       usage: UsageReport;
-      latencyRatio: number;
+      ratio: number;
       report: WorkerReport;
       nowMs: number;
     },
   ): void {
-    const { task, usage, latencyRatio, report, nowMs } = sample;
+    const { task, usage, ratio, report, nowMs } = sample;
     const measuredMs = nowMs - usage.ageMs;
     const last = this.#tailLatencies.get(task.taskId);
     // Every report repeats the last measurement until there is a new one.
     if (last && measuredMs <= last.measuredMs + 1) return;
     const batchCpuShares = batchCpuSharesOf(fold, host, report, usage.ageMs);
     const load = Math.min(1, usage.cpu / Math.max(task.resources.cpu, 1e-3));
-    this.model.learn({ service: workloadKindOf(task.owner), latencyRatio, load, batchCpuShares });
-    const smoothed = last
-      ? last.smoothed + SAMPLE_WEIGHT * (latencyRatio - last.smoothed)
-      : latencyRatio;
+    this.model.learn({
+      service: workloadKindOf(task.owner),
+      latencyRatio: ratio,
+      load,
+      batchCpuShares,
+    });
+    const smoothed = last ? last.smoothed + SAMPLE_WEIGHT * (ratio - last.smoothed) : ratio;
     this.#tailLatencies.set(task.taskId, { smoothed, measuredMs });
     this.#throttleOf(host.hostId).hasNewSample = true;
   }
@@ -147,8 +149,8 @@
     throttle.hasNewSample = false;
     const worst = this.#highestLatency(host);
     if (!worst) return;
-    throttle.misses = worst.latencyRatio > 1 ? throttle.misses + 1 : 0;
-    if (worst.latencyRatio >= LOW_LATENCY_RATIO) throttle.lowSinceMs = undefined;
+    throttle.misses = worst.ratio > 1 ? throttle.misses + 1 : 0;
+    if (worst.ratio >= LOW_LATENCY_RATIO) throttle.lowSinceMs = undefined;
     else throttle.lowSinceMs ??= nowMs;
     if (nowMs - throttle.lastActionMs < REPORT_LAG_MS) return;
     if (throttle.misses >= MISSES_BEFORE_ACTION) {
@@ -160,12 +162,11 @@
     }
   }
 
-  #highestLatency(host: HostState): { taskId: string; latencyRatio: number } | undefined {
-    let worst: { taskId: string; latencyRatio: number } | undefined;
+  #highestLatency(host: HostState): { taskId: string; ratio: number } | undefined {
+    let worst: { taskId: string; ratio: number } | undefined;
     for (const taskId of host.tasks) {
-      const latencyRatio = this.#tailLatencies.get(taskId)?.smoothed;
-      if (latencyRatio !== undefined && (!worst || latencyRatio > worst.latencyRatio))
-        worst = { taskId, latencyRatio };
+      const ratio = this.#tailLatencies.get(taskId)?.smoothed;
+      if (ratio !== undefined && (!worst || ratio > worst.ratio)) worst = { taskId, ratio };
     }
     return worst;
   }
--- a/packages/decisions/src/policy/evictions.ts
+++ b/packages/decisions/src/policy/evictions.ts
@@ -7,7 +7,7 @@
 import type { PlanStep } from './plan-step.js';
 import { PAUSE } from './plan-step.js';
 
-/** Eviction cost of a task relative to the next lower tier: it equals four tasks of that tier. */
+/** Cost ratio of adjacent tiers: evicting a task costs as much as four of the next lower tier. */
 const TIER_COST_FACTOR = 4;
 
 /** Number of hosts compared for one eviction; the next eviction continues after them. */
--- a/packages/decisions/src/policy/host-health.ts
+++ b/packages/decisions/src/policy/host-health.ts
@@ -13,7 +13,7 @@
 /** A host below this failure rate succeeds more often than not, so it remains useful. */
 const MIN_FAILURE_RATE = 0.5;
 
-/** Maximum share of hosts in quarantine: if more fail, the cause is not the single host. */
+/** Maximum share of hosts in quarantine: if more are suspect, the hosts are not the cause. */
 const MAX_QUARANTINED_SHARE = 0.1;
 
 /** With fewer hosts, there are too few peers for a comparison. */
@@ -33,8 +33,8 @@
 /** Number of runs at which an owner's counts are halved, so that old outcomes lose weight. */
 const HALVE_COUNTS_AT = 200;
 
-/** Number of tasks whose last counted attempt is remembered, to detect repeated reports. */
-const MAX_REMEMBERED_TASKS = 20_000;
+/** Number of tasks whose last ended attempt is remembered, to detect repeated reports. */
+const MAX_ENDS = 20_000;
 
 interface Outcome {
   readonly owner: string;
@@ -74,7 +74,8 @@
 
   readonly #quarantines = new Map<string, Quarantine>();
 
-  readonly #lastCountedAttempt = new Map<string, number>();
+  /** The last attempt whose end was counted, by task id. */
+  readonly #lastEnds = new Map<string, number>();
 
   /** When each attempt was first seen running, for jobs with failures, by task id and attempt. */
   #runningSince = new Map<string, number>();
@@ -90,7 +91,7 @@
   /** Counts the end of an attempt. Reports may be repeated, but each end counts once. */
   observe(end: AttemptEnd, nowMs: number): void {
     if (end.outcome !== 'completed' && end.outcome !== 'failed') return;
-    if ((this.#lastCountedAttempt.get(end.taskId) ?? 0) >= end.attempt) return;
+    if ((this.#lastEnds.get(end.taskId) ?? 0) >= end.attempt) return;
     this.#rememberEnd(end);
     const failed = end.outcome === 'failed';
     this.#completeProbe(end, failed, nowMs);
@@ -174,11 +175,10 @@
   }
 
   #rememberEnd({ taskId, attempt }: AttemptEnd): void {
-    this.#lastCountedAttempt.delete(taskId);
-    this.#lastCountedAttempt.set(taskId, attempt);
-    const [oldest] = this.#lastCountedAttempt.keys();
-    if (this.#lastCountedAttempt.size > MAX_REMEMBERED_TASKS && oldest !== undefined)
-      this.#lastCountedAttempt.delete(oldest);
+    this.#lastEnds.delete(taskId);
+    this.#lastEnds.set(taskId, attempt);
+    const [oldest] = this.#lastEnds.keys();
+    if (this.#lastEnds.size > MAX_ENDS && oldest !== undefined) this.#lastEnds.delete(oldest);
   }
 
   #completeProbe({ hostId, taskId }: AttemptEnd, failed: boolean, nowMs: number): void {
--- a/packages/decisions/src/policy/interference.ts
+++ b/packages/decisions/src/policy/interference.ts
@@ -82,10 +82,9 @@
   /** Predicts the service's tail latency at full load beside these kinds, divided by its target. */
   predict(service: string, batchCpuShares: ReadonlyMap<string, number>): number {
     const estimate = this.#services.get(service);
-    let latencyRatio = (estimate?.base ?? 0) + (estimate?.perLoad ?? 0);
-    for (const [kind, cpuShare] of batchCpuShares)
-      latencyRatio += this.cost(service, kind) * cpuShare;
-    return latencyRatio;
+    let ratio = (estimate?.base ?? 0) + (estimate?.perLoad ?? 0);
+    for (const [kind, cpuShare] of batchCpuShares) ratio += this.cost(service, kind) * cpuShare;
+    return ratio;
   }
 
   /** Yields every learned pair, for operators and tests. */
--- a/packages/decisions/src/policy/task-index.ts
+++ b/packages/decisions/src/policy/task-index.ts
@@ -112,13 +112,9 @@
   }
 
   #removePendingRelease(hostId: string, resources: Resources): void {
-    const remaining = subtractResources(
-      this.#pendingRelease.get(hostId) ?? NO_RESOURCES,
-      resources,
-    );
-    if (remaining.cpu + remaining.memoryMb + remaining.accelerators < 1e-3)
-      this.#pendingRelease.delete(hostId);
-    else this.#pendingRelease.set(hostId, remaining);
+    const rest = subtractResources(this.#pendingRelease.get(hostId) ?? NO_RESOURCES, resources);
+    if (rest.cpu + rest.memoryMb + rest.accelerators < 1e-3) this.#pendingRelease.delete(hostId);
+    else this.#pendingRelease.set(hostId, rest);
   }
 
   #ownerOf({ kind, owner }: TaskState): MutableOwner {
--- a/packages/decisions/src/rebind/control-node.ts
+++ b/packages/decisions/src/rebind/control-node.ts
@@ -175,7 +175,10 @@
     }
   }
 
-  /** After a pause, or for a new holder, the silence of others has no meaning. */
+  /**
+   * Detects that this node was paused or has just become the holder. The silence of others until
+   * now has no meaning then.
+   */
   #detectPause(now: number): void {
     if (now - this.#lastPassAt > this.#options.timing.leaseMs * MAX_PASS_GAP_SHARE) {
       this.#liveness.reset(now);
--- a/packages/decisions/src/requests/endpoint-health.ts
+++ b/packages/decisions/src/requests/endpoint-health.ts
@@ -13,6 +13,7 @@
 const LATENCY_HALF_LIFE_MS = 10_000;
 
 /**
+ * Whether an endpoint may get requests:
  * - `open`: accepts requests.
  * - `probe`: the ejection has ended; one idempotent request may test the endpoint.
  * - `ejected`: gets no requests while another endpoint has free capacity.
--- a/packages/decisions/src/snapshot-parts.ts
+++ b/packages/decisions/src/snapshot-parts.ts
@@ -17,8 +17,7 @@
 ): Generator<SnapshotPart> {
   const text = JSON.stringify(state);
   const parts = Math.ceil(text.length / SNAPSHOT_PART_CHARS);
-  if (parts > MAX_SNAPSHOT_PARTS)
-    throw new RangeError(`snapshot exceeds the size limit with ${parts} parts`);
+  if (parts > MAX_SNAPSHOT_PARTS) throw new RangeError(`snapshot too large: ${parts} parts`);
   for (let part = 0; part < parts; part += 1) {
     const start = part * SNAPSHOT_PART_CHARS;
     const data = text.slice(start, start + SNAPSHOT_PART_CHARS);
--- a/packages/decisions/src/test/colocation_test.ts
+++ b/packages/decisions/src/test/colocation_test.ts
@@ -4,8 +4,8 @@
 import { Colocation, ColocationFit, seededRandom } from '../index.js';
 import { Harness, hosts, job, service } from './plan-harness.js';
 
-const LAG_MS = 12_000;
-const ROUND_MS = 4_000;
+const REPORT_LAG_MS = 12_000;
+const REPORT_INTERVAL_MS = 4_000;
 
 /** Effect of batch work of the kind `loud` on the latency ratio of `slow`; others have none. */
 const LOUD_COST = 4;
@@ -38,7 +38,7 @@
       attempt,
       cpu: used[i] ?? 0,
       memoryMb: 1,
-      ageMs: LAG_MS,
+      ageMs: REPORT_LAG_MS,
       ...(kind === 'service' && { latencyMs }),
     }));
     return { hostId: 'w0', incarnation: 'i', heartbeat: 0, orphans: false, tasks: [], usage };
@@ -47,7 +47,7 @@
   /** Observes a report and returns the owners of the tasks to move. */
   review(report = this.report()): string[] {
     const { fold, manifest } = this.harness;
-    this.nowMs += ROUND_MS;
+    this.nowMs += REPORT_INTERVAL_MS;
     this.colocation.observe(fold, manifest, report, this.nowMs);
     return [...this.colocation.review(fold, this.nowMs)].map(
       ({ taskId }) => fold.tasks.get(taskId)?.owner ?? '',
@@ -86,7 +86,7 @@
   const slowReport = scenario.report(1.3);
   scenario.review(slowReport);
   for (let i = 0; i < 20; i += 1) {
-    scenario.nowMs -= ROUND_MS;
+    scenario.nowMs -= REPORT_INTERVAL_MS;
     scenario.review(slowReport);
   }
   assert.equal(scenario.share('loud-1'), 1);
--- a/packages/decisions/src/test/host-health_test.ts
+++ b/packages/decisions/src/test/host-health_test.ts
@@ -5,7 +5,7 @@
 
 const STEP_MS = 10_000;
 
-/** Runs passes. Every attempt ends before the next pass, as determined by `fails`. */
+/** Runs passes. Every attempt ends before the next pass, as determined by `shouldFail`. */
 function run(
   harness: Harness,
   memory: SchedulingMemory,
--- a/packages/decisions/src/test/lease-expiry-tracker_test.ts
+++ b/packages/decisions/src/test/lease-expiry-tracker_test.ts
@@ -12,7 +12,7 @@
 const STARTED_AT = -100_000;
 const NOW = 0;
 
-/** A fold in which `me` holds the term and one attempt has been revoked. */
+/** A fold in which `me` holds the term and one attempt is bound, which can be revoked. */
 class Scenario {
   readonly fold = new ControlFold();
 
