--- a/packages/decisions/src/rebind/control-node.ts
+++ b/packages/decisions/src/rebind/control-node.ts
@@ -65,6 +65,7 @@
 
   readonly #liveness: WorkerLiveness;
 
+  /** Since when this node, as holder without a pause, has expected hellos, by member key. */
   readonly #memberWatchedSince = new Map<string, number>();
 
   #pendingReports: AskedReport[] = [];
--- a/packages/decisions/src/rebind/lease-expiry-tracker.ts
+++ b/packages/decisions/src/rebind/lease-expiry-tracker.ts
@@ -56,10 +56,13 @@
 export class LeaseExpiryTracker {
   readonly #timing: LeaseTiming;
 
+  /** The time before which departures of members are unknown to this process. */
   #unknownBefore: number;
 
+  /** The last hello of each peer, by member key. */
   readonly #hellos = new Map<string, ReceivedHello>();
 
+  /** When this node folded the departure of a member, by member key. */
   readonly #leftAt = new Map<string, number>();
 
   readonly #revocations = new Map<string, Revocation>();
