--- a/packages/runtime/src/internal/claim-order.ts
+++ b/packages/runtime/src/internal/claim-order.ts
@@ -34,11 +34,11 @@
  * Determines how long a node waits before it claims vacant leadership. Nodes that are much smaller
  * than the largest known node let the larger nodes claim first.
  *
- * A small node takes many seconds to contact hundreds of workers and to decide for all jobs.
- * Meanwhile it is considered dead, and as most nodes are small, the next claim is usually from
- * another small node, so that leases expire before any of them has renewed them. No node waits
- * where a larger one has never been seen. Each leader's record passes on the size of the largest
- * known node, so a node that has just started knows it too.
+ * A small node takes many seconds to contact hundreds of workers and to make decisions for all
+ * jobs. Meanwhile it is considered dead, and as most nodes are small, the next claim is usually
+ * from another small node, so that leases expire before any of them has renewed them. A node does
+ * not defer if no larger node has ever been seen. Each leader's record passes on the size of the
+ * largest known node, so a node that has just started knows it too.
  */
 export class ClaimOrder {
   readonly cores: number;
--- a/packages/runtime/src/internal/former-leases.ts
+++ b/packages/runtime/src/internal/former-leases.ts
@@ -44,9 +44,7 @@
     this.#startedMs = startedMs;
   }
 
-  /**
-   * When leases of former terms expire on workers that differ from the general bound, by worker.
-   */
+  /** When leases of former terms expire on workers that have a bound of their own, by worker. */
   get namedEndMs(): ReadonlyMap<string, number> {
     return this.#namedEndMs;
   }
--- a/packages/runtime/src/internal/leader-term.ts
+++ b/packages/runtime/src/internal/leader-term.ts
@@ -268,13 +268,13 @@
       this.#workerList.isLoaded,
       steadyMs(),
     );
-    const isNews = this.#leases.updateSilent(silent, isComplete && this.#isFullyLoaded);
+    const mustReportSilent = this.#leases.updateSilent(silent, isComplete && this.#isFullyLoaded);
     // This node's own record accompanies each append: once read back, it shows that the append is
-    // stored. Deletions in the callers' log do not show that this node is alive, and other records
+    // stored. Deletions of callers' records do not show that this node is alive, and other records
     // may be equal to earlier ones.
     const isDue =
       this.#leases.isCompact || steadyMs() - this.#lastRecord.sentMs >= LEADER_WRITE_INTERVAL_MS;
-    const writesRecord = resigns || isNews || isQuiet || (writes.length > 0 && isDue);
+    const writesRecord = resigns || mustReportSilent || isQuiet || (writes.length > 0 && isDue);
     if (writesRecord) {
       const standby = this.#watchers?.standby;
       const retryAfterMs = this.#scheduler.retryAfter(steadyMs());
@@ -312,8 +312,8 @@
 
   /**
    * Stores the records and sends stops that become due meanwhile. With a store that loses answers,
-   * an append takes seconds. By then a worker that announced that it is leaving has ended, together
-   * with the long-running tasks that nobody stopped there.
+   * an append takes seconds. Stops that waited for it would be too late: a worker that announced
+   * that it is leaving would have ended, together with the long-running tasks on it.
    */
   async #write(writes: readonly KeyedWrite[]): Promise<boolean> {
     this.#load.appendSent();
--- a/packages/runtime/src/internal/order-sender.ts
+++ b/packages/runtime/src/internal/order-sender.ts
@@ -18,10 +18,10 @@
 const NEWEST_WEIGHT = 0.2;
 
 /**
- * Sends orders in small batches. Sending all orders of a round at once kept a slow node from its
- * renewals and its own record for the whole time, so that it was considered dead; starts without an
- * answer were sent again, which made three times the work. The pause between batches is sufficient,
- * as due renewals and answers are processed first in it.
+ * Sends orders in small batches. Sending all orders of a round at once would keep a slow node from
+ * its renewals and its own record for the whole time, so that it is considered dead; starts without
+ * an answer are sent again, which makes three times the work. The pause between batches is
+ * sufficient, as due renewals and answers are processed first during it.
  */
 export class OrderSender {
   readonly #signal: AbortSignal;
--- a/packages/runtime/src/internal/round-pacing.ts
+++ b/packages/runtime/src/internal/round-pacing.ts
@@ -13,8 +13,8 @@
 /**
  * Divides the time of the leader between its rounds and its other work. A round can take seconds
  * where hundreds of workers and thousands of jobs wait for a node with a third of a core. Without
- * the pacing its leases expired meanwhile, and the next node, which considered it dead, had even
- * more to do.
+ * the pacing its leases would expire meanwhile, and the next node, which considers it dead, would
+ * have even more to do.
  */
 export class RoundPacing {
   readonly #signal: AbortSignal;
--- a/packages/runtime/src/internal/timing.ts
+++ b/packages/runtime/src/internal/timing.ts
@@ -23,8 +23,8 @@
 
 /**
  * The same bound for a claim of leadership, until the first append of the term is confirmed: the
- * length of one lease. With four seconds, all running tasks were lost when the answers of the store
- * were lost for five. A higher value would delay the tasks of workers that a leader never contacted
+ * length of one lease. With four seconds, all running tasks are lost when the answers of the store
+ * are lost for five. A higher value would delay the tasks of workers that a leader never contacted
  * before it was itself replaced.
  */
 export const CLAIM_LEASE_MS = 6_000;
@@ -157,8 +157,8 @@
 
 /**
  * The same wait for a worker on which nothing runs. A worker gets no tasks after it has not
- * answered for 1.8 s. With a wait of two seconds every idle worker was unavailable for a tenth of
- * the time, and a job that arrived then started a quarter of a second late. The difference to 1.8 s
+ * answered for 1.8 s. With a wait of two seconds, every idle worker is unavailable for a tenth of
+ * the time, and a job that arrives then starts a quarter of a second late. The difference to 1.8 s
  * is left for the calls and for delays on a busy node.
  */
 export const IDLE_RENEW_WAIT_MS = 1_600;
@@ -200,10 +200,13 @@
 /**
  * After a round, the node leaves as much time for its links and records as the round took, up to
  * this limit, as the next round writes the node's own record. With back-to-back rounds, a node with
- * a third of a core contacted twenty of 440 workers per second, and the leases of the others
- * expired.
+ * a third of a core contacts only twenty of 440 workers per second, and the leases of the others
+ * expire.
  */
 export const MAX_ROUND_PAUSE_MS = 250;
 
-/** Longest time that sending the queued starts may take; urgent orders queue behind them. */
+/**
+ * Longest time that sending the queued starts may take; starts that turn out to be urgent queue
+ * behind them.
+ */
 export const MAX_UNSENT_STARTS_MS = 1_000;
--- a/packages/runtime/src/keyed-log.ts
+++ b/packages/runtime/src/keyed-log.ts
@@ -12,7 +12,10 @@
   readonly key: string;
   /** The value; undefined if the key was deleted. */
   readonly value: string | undefined;
-  /** Why the record cannot be read. Such a record has no value and does not delete its key. */
+  /**
+   * Why the record cannot be read. The value of such a record must not be used, and the record does
+   * not delete its key.
+   */
   readonly fault?: RecordFault;
 }
 
--- a/packages/runtime/src/node.ts
+++ b/packages/runtime/src/node.ts
@@ -91,7 +91,8 @@
 
   /**
    * Waits briefly until the node has read what it needs to answer callers. Otherwise a caller that
-   * connects during the start would be rejected for a second because of some missing milliseconds.
+   * connects during the start would be rejected for a second although the node needs only some more
+   * milliseconds.
    */
   async whenLoaded(): Promise<void> {
     const { follower } = this.#config;
@@ -108,7 +109,7 @@
 
   /**
    * Whether the node may report that a queue is not configured. A caller treats that answer as
-   * final, and operators may have added the queue after the time of an old view. Known queues are
+   * final, and operators may have added the queue after an old view was read. Known queues are
    * served even with an old view: otherwise an outage of only the operators' records would stop all
    * jobs.
    */
