--- a/packages/runtime/src/test/broken-work-records_test.ts
+++ b/packages/runtime/src/test/broken-work-records_test.ts
@@ -53,7 +53,7 @@
 
 const put = (key: string, value: string | undefined): void => table.apply({ key, value });
 
-function progress(change: (job: JobProgress) => void): string {
+function encodeProgress(change: (job: JobProgress) => void): string {
   const job = new JobProgress(SPEC);
   job.openDue(0);
   job.markRunning();
@@ -61,14 +61,14 @@
   return job.encode();
 }
 
-const RUNNING = progress(() => {});
+const RUNNING_PROGRESS = encodeProgress(() => {});
 
 beforeEach(() => {
   table = new WorkTable('n9');
   put('leader', encodeLeader(LEADER));
   put('learned', encodeLearned({ web: { batch: 0.4 } }));
   put('j/a', encodeJob(SPEC));
-  put('s/a', RUNNING);
+  put('s/a', RUNNING_PROGRESS);
 });
 
 /** Asserts that the table still holds exactly the records that each test starts with. */
@@ -78,7 +78,7 @@
   assert.deepEqual([...table.jobs.keys()], ['a'], message);
   assert.deepEqual(table.jobs.get('a')!.spec, SPEC, message);
   assert.equal(table.jobs.get('a')!.state, 'running', message);
-  assert.equal(table.jobs.get('a')!.progress, RUNNING, message);
+  assert.equal(table.jobs.get('a')!.progress, RUNNING_PROGRESS, message);
 }
 
 test('a malformed record changes nothing', () => {
@@ -105,7 +105,7 @@
   // The leader sums up resources, counts tasks and follows references between steps. Guards against
   // an invalid job that fails there, while the leader decides for the jobs of all callers.
   const step = SPEC.steps[0]!;
-  const broken: object[] = [
+  const malformed: object[] = [
     { ...SPEC, id: 'other' },
     { ...SPEC, queue: 7 },
     { ...SPEC, payload: null },
@@ -121,7 +121,7 @@
     { ...SPEC, schedule: { count: 'x', firstDueMs: 0, intervalMs: 0 } },
   ];
   table = new WorkTable('n9');
-  for (const value of broken) {
+  for (const value of malformed) {
     put('j/a', JSON.stringify(value));
     assert.equal(table.jobs.size, 0, JSON.stringify(value));
   }
@@ -139,7 +139,7 @@
 test('progress that does not match its job is rejected as unreadable', () => {
   // Progress says where each task may run. Guards against a new leader that looks up tasks that do
   // not exist: it would fail in every round, and no job of any caller would start.
-  const broken = [
+  const malformed = [
     { s: 'running', b: 1, o: [[0, []]] },
     { s: 'running', b: 1, o: [[0, [[0]]]] },
     { s: 'running', b: 1, o: [[0, [[0, [1, 1, 7, 0, '']]]]] },
@@ -149,7 +149,7 @@
     { s: 'running', b: 1 },
     { s: 'completed', b: 1, o: [], e: 'x' },
   ];
-  for (const value of broken) {
+  for (const value of malformed) {
     put('s/a', JSON.stringify(value));
     assertUnchanged(JSON.stringify(value));
   }
@@ -161,7 +161,7 @@
   assert.equal(table.jobs.get('a')!.isUnsure, false);
   put('s/a', '{"s":7}');
   assert.equal(table.jobs.get('a')!.isUnsure, true);
-  put('s/a', RUNNING);
+  put('s/a', RUNNING_PROGRESS);
   assert.equal(table.jobs.get('a')!.isUnsure, false);
   table = new WorkTable('n9');
   put('s/a', '{"s":7}');
@@ -176,7 +176,7 @@
   await new Promise(setImmediate);
   put('s/a', '{"s":7}');
   assert.equal(table.leaderSeenMs, seenMs);
-  put('s/a', RUNNING);
+  put('s/a', RUNNING_PROGRESS);
   assert.ok(table.leaderSeenMs > seenMs);
 });
 
--- a/packages/runtime/src/test/hand-over_test.ts
+++ b/packages/runtime/src/test/hand-over_test.ts
@@ -47,9 +47,9 @@
 test('an offer that is malformed, of another term or not of a larger node is ignored', async (t) => {
   const fleet = await startSmallFleet(t);
   const firstLeader = fleet.leader!;
-  const broken = [{ cores: '8' }, { cores: null }, { node: 7 }, { epoch: 1.5 }];
+  const malformed = [{ cores: '8' }, { cores: null }, { node: 7 }, { epoch: 1.5 }];
   const unsuitable = [{ epoch: 900 }, { cores: 0.5 }, { node: firstLeader.name }];
-  for (const changes of [...broken, ...unsuitable]) {
+  for (const changes of [...malformed, ...unsuitable]) {
     putOffer(fleet, changes);
     fleet.store.put(offerKey(), '{');
     await fleet.time.advance(300);
--- a/packages/runtime/src/test/keyed-follower_test.ts
+++ b/packages/runtime/src/test/keyed-follower_test.ts
@@ -113,9 +113,9 @@
   const source = new TruncatedLog();
   const { follower, received } = followTruncated(source, t);
   await pause(100);
-  const old = source.pages[0]!;
-  const leaving = { records: [{ key: 'w1', value: 'leaves' }], hasMore: false, end: 5 };
-  source.pages = [old, { ...old, end: 4 }, leaving];
+  const outdatedPage = source.pages[0]!;
+  const currentPage = { records: [{ key: 'w1', value: 'leaves' }], hasMore: false, end: 5 };
+  source.pages = [outdatedPage, { ...outdatedPage, end: 4 }, currentPage];
   Object.assign(source, { end: 5, first: 5 });
   const truncatedMs = steadyMs();
   await pause(250);
@@ -148,11 +148,11 @@
   const { follower } = followTruncated(source, t);
   await pause(100);
   source.end = 1;
-  const behindMs = steadyMs();
+  const lagStartMs = steadyMs();
   await pause(300);
   const { completeAsOfMs, isLost } = follower;
   source.end = 2;
   await pause(300);
-  assert.ok(completeAsOfMs < behindMs + 20 && isLost, `${completeAsOfMs - behindMs} ms`);
-  assert.ok(follower.completeAsOfMs > behindMs + 300);
+  assert.ok(completeAsOfMs < lagStartMs + 20 && isLost, `${completeAsOfMs - lagStartMs} ms`);
+  assert.ok(follower.completeAsOfMs > lagStartMs + 300);
 });
--- a/packages/runtime/src/test/new-term_test.ts
+++ b/packages/runtime/src/test/new-term_test.ts
@@ -21,7 +21,7 @@
 const APPEND_MS = 400;
 
 /** Time to load the list of workers, whose first read times out once, in milliseconds. */
-const LIST_MS = 1_000;
+const LOAD_LIST_MS = 1_000;
 
 /** Upper bound of the time from a worker's first answer to its next renewal, in milliseconds. */
 const MAX_RENEWAL_DELAY_MS = 300;
@@ -34,7 +34,7 @@
   }
 
   override async newest(): Promise<NewestPage> {
-    await pause(LIST_MS);
+    await pause(LOAD_LIST_MS);
     return super.newest();
   }
 }
@@ -102,7 +102,7 @@
     config,
   });
   const running = term.run();
-  await pause(LIST_MS + 2_500);
+  await pause(LOAD_LIST_MS + 2_500);
   term.stop();
   await running;
   assert.ok(workers.firstAnswerMs > 0 && workers.firstLeaseMs > 0);
--- a/packages/runtime/src/test/sized-takeover_test.ts
+++ b/packages/runtime/src/test/sized-takeover_test.ts
@@ -99,8 +99,8 @@
 /** Cuts the power of the leader; adds to the tally which node replaces it, and how long that takes. */
 async function replaceDeadLeader(fleet: VirtualFleet, tally: Tally): Promise<void> {
   const { time, store } = fleet;
-  const dead = fleet.leader!;
-  dead.losePower();
+  const formerLeader = fleet.leader!;
+  formerLeader.losePower();
   store.claimCount = 0;
   const sinceMs = time.nowMs;
   await time.advanceUntil(() => fleet.leader !== undefined, 10_000);
--- a/packages/runtime/src/test/slow-list_test.ts
+++ b/packages/runtime/src/test/slow-list_test.ts
@@ -48,9 +48,9 @@
     await running;
   });
   await waitUntil(() => views.windowMs(steadyMs()) > 0);
-  let closedMs = 0;
+  let withoutStartsMs = 0;
   for (const endMs = steadyMs() + 6_000; steadyMs() < endMs; await pause(10)) {
-    if (views.windowMs(steadyMs()) === 0) closedMs += 10;
+    if (views.windowMs(steadyMs()) === 0) withoutStartsMs += 10;
   }
-  assert.equal(closedMs, 0);
+  assert.equal(withoutStartsMs, 0);
 });
