--- a/packages/runtime/src/test/keyed-follower_test.ts
+++ b/packages/runtime/src/test/keyed-follower_test.ts
@@ -132,13 +132,13 @@
   source.pages.push({ records: [{ key: 'w1', value: 'leaves' }], hasMore: false, end: 5 });
   Object.assign(source, { end: 5, first: 5 });
   const { follower, received } = followTruncated(source, t);
-  let receivedWhenFresh: string[] | undefined;
+  let receivedWhenComplete: string[] | undefined;
   const polling = setInterval(() => {
-    if (follower.completeAsOfMs > -Infinity) receivedWhenFresh ??= [...received];
+    if (follower.completeAsOfMs > -Infinity) receivedWhenComplete ??= [...received];
   }, 1);
   await pause(500);
   clearInterval(polling);
-  assert.deepEqual(receivedWhenFresh, ['ready', 'leaves']);
+  assert.deepEqual(receivedWhenComplete, ['ready', 'leaves']);
 });
 
 test('an answer that ends before the known end of the log does not make the view up to date', async (t) => {
--- a/packages/runtime/src/test/order-sender_test.ts
+++ b/packages/runtime/src/test/order-sender_test.ts
@@ -11,7 +11,7 @@
 const START_MS = 3;
 
 /** Time of a start together with the time that is then left to other work, in milliseconds. */
-const START_WITH_REST_MS = 3 * START_MS;
+const START_WITH_PAUSE_MS = 3 * START_MS;
 
 /** Blocks the event loop for the given time, in milliseconds. */
 function blockEventLoop(ms: number): void {
@@ -54,7 +54,7 @@
   // By now the sender has measured the cost of a start: urgent orders must not wait for more than about
   // a second of starts.
   assert.ok(
-    sender.capacity * START_WITH_REST_MS < 1.5 * MAX_UNSENT_STARTS_MS,
+    sender.capacity * START_WITH_PAUSE_MS < 1.5 * MAX_UNSENT_STARTS_MS,
     `capacity for ${sender.capacity}`,
   );
 });
--- a/packages/runtime/src/test/slow-reads_test.ts
+++ b/packages/runtime/src/test/slow-reads_test.ts
@@ -60,7 +60,7 @@
     jobLog: new SlowLog(),
     workerLog: new SlowLog(),
     operatorLog: new SlowLog([{ key: 'config', value: 'x' }]),
-    workers: { forget() {} },
+    workers: { disconnect() {} },
     workerIdOf: () => undefined,
     decodeWorker: () => assert.fail(),
     decodeConfig: () => ({
--- a/packages/runtime/src/test/work-follower_test.ts
+++ b/packages/runtime/src/test/work-follower_test.ts
@@ -150,18 +150,18 @@
   ]);
   expired.expire();
   // The time at which the view was last complete, for each load during which the table lacked the job.
-  const freshTimesMs: number[] = [];
+  const completeTimesMs: number[] = [];
   let loadCount = 0;
   logs.jobLog.newest = async (): Promise<NewestPage> => {
     await pause(50);
-    if (!table.jobs.has(ID)) freshTimesMs.push(follower.completeAsOfMs);
+    if (!table.jobs.has(ID)) completeTimesMs.push(follower.completeAsOfMs);
     loadCount += 1;
     return MemoryLog.prototype.newest.call(logs.jobLog);
   };
   expired.isBlocked = false;
   await waitUntil(() => loadCount > 0 && follower.isLoaded && table.jobs.has(ID));
   assert.deepEqual([...seenStates], ['running']);
-  assert.ok(freshTimesMs.every((freshMs) => freshMs === -Infinity));
+  assert.ok(completeTimesMs.every((asOfMs) => asOfMs === -Infinity));
 }
 
 test('jobs keep their progress when records of leaders have expired', async () => {
