--- a/packages/runtime/src/test/fault-log_test.ts
+++ b/packages/runtime/src/test/fault-log_test.ts
@@ -44,7 +44,7 @@
   assert.equal(lines.length, 3);
 });
 
-test('the number of lines for many broken keys is limited, and every record is counted', () => {
+test('the number of lines for many unusable records is limited, and every record is counted', () => {
   for (let i = 0; i < 3_000; i += 1) faults.unusable('workers', `w${i}`, FAULT);
   assert.ok(lines.length <= MAX_LINES, `${lines.length} lines`);
   assert.deepEqual([...faults.counts], [{ source: 'workers', reason: 'missing', count: 3_000 }]);
--- a/packages/runtime/src/test/unread-jobs_test.ts
+++ b/packages/runtime/src/test/unread-jobs_test.ts
@@ -103,9 +103,9 @@
 });
 
 test('a new leader waits until all records of previous leaders are read', async () => {
-  // Records have expired, so the log is reloaded just when the claim is stored: the first page contains
-  // the claim, the next one the progress of jobs. Guards against loading jobs with outdated progress
-  // into the scheduler, which would start tasks that are already running.
+  // Records have expired, so the work log is reloaded just when the claim is stored: the first page
+  // contains the claim, the next one the progress of jobs. Guards against loading jobs with outdated
+  // progress into the scheduler, which would start tasks that are already running.
   const node = new TakeoverNode();
   await node.follow();
   const { workLog } = node;
@@ -125,10 +125,10 @@
   assert.equal(written, 0);
 });
 
-test('a job that is read while the log of the leaders is reloaded does not count as new', () => {
-  // A node has read the progress of a job but not the job. It reloads the log of the leaders, and reads
-  // the job before the page with its progress. Guards against taking the job for a new one, which
-  // would be started a second time if this node were leader.
+test('a job that is read while the work log is reloaded does not count as new', () => {
+  // A node has read the progress of a job but not the job. It reloads the work log, and reads the job
+  // before the page with its progress. Guards against taking the job for a new one, which would be
+  // started a second time if this node were leader.
   const table = new WorkTable('n1');
   const { id } = LONG_RUNNING_JOB;
   table.apply({ key: progressKey(id), value: startedProgress().encode() });
--- a/packages/runtime/src/test/work-follower_test.ts
+++ b/packages/runtime/src/test/work-follower_test.ts
@@ -164,13 +164,13 @@
   assert.ok(completeTimesMs.every((asOfMs) => asOfMs === -Infinity));
 }
 
-test('jobs keep their progress when records of leaders have expired', async () => {
-  // A node was cut off only from the log of the leaders, and reloads it. Guards against jobs that lose
-  // their progress in the reload: they would run again.
+test('jobs keep their progress when records of the work log have expired', async () => {
+  // A node was cut off only from the work log, and reloads it. Guards against jobs that lose their
+  // progress in the reload: they would run again.
   await reloadAfterExpiry(logs.workLog);
 });
 
-test('jobs keep their progress when records of callers have expired', async () => {
+test("jobs keep their progress when records of the callers' log have expired", async () => {
   // Guards against the same failure with the callers' log, as progress is not read again then, and
   // against answering a caller that a job does not exist before the reload has read it.
   await reloadAfterExpiry(logs.jobLog);
