--- a/packages/runtime/src/test/work-follower_test.ts
+++ b/packages/runtime/src/test/work-follower_test.ts
@@ -150,27 +150,27 @@
   ]);
   expired.expire();
   // The time at which the view was last complete, for each load during which the table lacked the job.
-  const freshTimesMs: number[] = [];
+  const completeTimesMs: number[] = [];
   let loadCount = 0;
   logs.jobLog.newest = async (): Promise<NewestPage> => {
     await pause(50);
-    if (!table.jobs.has(ID)) freshTimesMs.push(follower.completeAsOfMs);
+    if (!table.jobs.has(ID)) completeTimesMs.push(follower.completeAsOfMs);
     loadCount += 1;
     return MemoryLog.prototype.newest.call(logs.jobLog);
   };
   expired.isBlocked = false;
   await waitUntil(() => loadCount > 0 && follower.isLoaded && table.jobs.has(ID));
   assert.deepEqual([...seenStates], ['running']);
-  assert.ok(freshTimesMs.every((freshMs) => freshMs === -Infinity));
+  assert.ok(completeTimesMs.every((asOfMs) => asOfMs === -Infinity));
 }
 
-test('jobs keep their progress when records of leaders have expired', async () => {
-  // A node was cut off only from the log of the leaders, and reloads it. Guards against jobs that lose
-  // their progress in the reload: they would run again.
+test('jobs keep their progress when records of the work log have expired', async () => {
+  // A node was cut off only from the work log, and reloads it. Guards against jobs that lose their
+  // progress in the reload: they would run again.
   await reloadAfterExpiry(logs.workLog);
 });
 
-test('jobs keep their progress when records of callers have expired', async () => {
+test("jobs keep their progress when records of the callers' log have expired", async () => {
   // Guards against the same failure with the callers' log, as progress is not read again then, and
   // against answering a caller that a job does not exist before the reload has read it.
   await reloadAfterExpiry(logs.jobLog);
