--- a/packages/runtime/src/job-api.ts
+++ b/packages/runtime/src/job-api.ts
@@ -33,7 +33,7 @@
   readonly result: ResultCode;
   readonly fields?: object;
   /** When the caller of a rejected request may retry, in milliseconds from now. */
-  readonly refusalMs?: number;
+  readonly retryDelayMs?: number;
 }
 
 /** The part of a node that the API uses. */
@@ -88,9 +88,9 @@
       res.end(await this.#metrics?.text());
       return;
     }
-    const { result, fields, refusalMs } = await this.#answer(req, path.split('/').slice(1));
+    const { result, fields, retryDelayMs } = await this.#answer(req, path.split('/').slice(1));
     const body = JSON.stringify({ code: result.code, result: result.name, ...fields });
-    if (refusalMs !== undefined) res.setHeader('Retry-After', Math.ceil(refusalMs / 1_000));
+    if (retryDelayMs !== undefined) res.setHeader('Retry-After', Math.ceil(retryDelayMs / 1_000));
     res.writeHead(result.status, { 'Content-Type': 'application/json' });
     res.end(body);
   }
@@ -141,8 +141,8 @@
     const { JobFaultsError, readJob } = await import('./internal/job-schema.js');
     try {
       const spec = readJob(id, queue.name, text, Date.now());
-      const refusalMs = this.#node.jobs.refusalMs(spec, queue);
-      if (refusalMs !== undefined) return { result: RESULT_CODES.longWait, refusalMs };
+      const retryDelayMs = this.#node.jobs.retryDelayMs(spec, queue);
+      if (retryDelayMs !== undefined) return { result: RESULT_CODES.longWait, retryDelayMs };
       const outcome = await this.#node.jobs.submit(spec, steadyMs() + CALL_TIMEOUT_MS);
       return { result: SUBMIT_RESULTS[outcome] };
     } catch (err) {
--- a/packages/runtime/src/job-service.ts
+++ b/packages/runtime/src/job-service.ts
@@ -128,7 +128,7 @@
    * Returns in how many milliseconds a caller should retry a job; undefined if the job can be
    * accepted now or is stored already.
    */
-  refusalMs(spec: JobSpec, queue: QueuePolicy): number | undefined {
+  retryDelayMs(spec: JobSpec, queue: QueuePolicy): number | undefined {
     const { leader, leaderSeenMs } = this.#view.table;
     const leaderAgeMs = steadyMs() - leaderSeenMs;
     const hasRefusals = leader?.retryAfterMs !== undefined && leaderAgeMs < MAX_REFUSAL_AGE_MS;
--- a/packages/runtime/src/test/job-service_test.ts
+++ b/packages/runtime/src/test/job-service_test.ts
@@ -77,7 +77,7 @@
   readonly #service = new JobService(this.view, this.log, this.nodeLog);
 
   refusalMs(spec: JobSpec, pool: string): number | undefined {
-    return this.#service.refusalMs(spec, { ...QUEUE, pool });
+    return this.#service.retryDelayMs(spec, { ...QUEUE, pool });
   }
 
   submit(id: string, waitMs = 3_000): Promise<string> {
