--- a/packages/daemon/src/internal/key-home-task.ts
+++ b/packages/daemon/src/internal/key-home-task.ts
@@ -1,4 +1,4 @@
-import type { KeptKeyMemory, KeyedAnswer, KeyedRequest, Service } from '@redwingcrank/protocol';
+import type { StoredKeyMemory, KeyedAnswer, KeyedRequest, Service } from '@redwingcrank/protocol';
 import type { KeyMemory, RunOutcome } from '@redwingcrank/decisions';
 import { KeyTable } from '@redwingcrank/decisions';
 import { readAnswer } from './answer-buffer.js';
@@ -72,7 +72,7 @@
    * @param memory - What the predecessor handed on; `nobody` where there never was one; undefined
    *   where its memory is lost.
    */
-  open(memory: KeptKeyMemory | 'nobody' | undefined): void {
+  open(memory: StoredKeyMemory | 'nobody' | undefined): void {
     if (memory === 'nobody') this.#table.assumeNoEarlierHome();
     else if (memory) this.#table.import(memory.memory, memory.heldMs, performance.now());
     this.#opened = true;
--- a/packages/daemon/src/internal/key-keeper.ts
+++ b/packages/daemon/src/internal/key-keeper.ts
@@ -1,10 +1,10 @@
-import type { HandedKeyMemory, KeptKeyMemory } from '@redwingcrank/protocol';
+import type { KeyMemorySnapshot, StoredKeyMemory } from '@redwingcrank/protocol';
 
 /** A home that is gone for longer starts with an empty memory. */
 const KEEP_MS = 600_000;
 
 interface Kept {
-  readonly memory: HandedKeyMemory;
+  readonly memory: KeyMemorySnapshot;
   readonly at: number;
 }
 
@@ -12,12 +12,12 @@
 export class KeyKeeper {
   readonly #kept = new Map<string, Kept>();
 
-  keep(memory: HandedKeyMemory): void {
+  keep(memory: KeyMemorySnapshot): void {
     this.#kept.set(memory.nodeId, { memory, at: performance.now() });
   }
 
   /** Gives a node's keys away: each memory is taken over once. */
-  take(nodeId: string): KeptKeyMemory | null {
+  take(nodeId: string): StoredKeyMemory | null {
     const kept = this.#kept.get(nodeId);
     this.#kept.delete(nodeId);
     if (!kept) return null;
--- a/packages/daemon/src/internal/lease-keeper.ts
+++ b/packages/daemon/src/internal/lease-keeper.ts
@@ -1,5 +1,5 @@
 import { Subject } from 'rxjs';
-import type { AskedReport, Manifest, WorkerReport } from '@redwingcrank/protocol';
+import type { PolledReport, Manifest, WorkerReport } from '@redwingcrank/protocol';
 import type { WorkerClient } from '@redwingcrank/ports';
 import type { ControlNode, HostState, WorkerCommand } from '@redwingcrank/decisions';
 import type { EventLog } from './event-log.js';
@@ -35,7 +35,7 @@
   #stopped = false;
 
   /** Reports as workers gave them. */
-  readonly reports$ = new Subject<AskedReport>();
+  readonly reports$ = new Subject<PolledReport>();
 
   constructor(options: LeaseKeeperOptions) {
     this.#options = options;
--- a/packages/daemon/src/internal/peer-router.ts
+++ b/packages/daemon/src/internal/peer-router.ts
@@ -1,19 +1,19 @@
 import { initTRPC } from '@trpc/server';
 import { z } from 'zod';
 import type {
-  AskedReport,
-  HandedKeyMemory,
+  PolledReport,
+  KeyMemorySnapshot,
   Hello,
-  KeptKeyMemory,
+  StoredKeyMemory,
   KeyedAnswer,
   KeyedRequest,
 } from '@redwingcrank/protocol';
 import {
   RESULT_CODES,
-  askedReportSchema,
+  polledReportSchema,
   faultsOf,
   helloSchema,
-  keyMemorySchema,
+  keyMemorySnapshotSchema,
   keyedRequestSchema,
 } from '@redwingcrank/protocol';
 
@@ -22,13 +22,13 @@
   /** Takes note of a peer and answers with this node's own state. */
   hello(from: Hello): Hello;
   /** Takes a worker's report that a peer fetched. */
-  workerReport(asked: AskedReport): void;
+  workerReport(asked: PolledReport): void;
   /** Runs a request whose key has its home on this node, or tells how that ended. */
   runKeyed(call: KeyedRequest): Promise<KeyedAnswer>;
   /** Keeps the keys of a peer that shuts down. */
-  keepKeys(memory: HandedKeyMemory): void;
+  keepKeys(memory: KeyMemorySnapshot): void;
   /** Gives a peer that is back the keys that were kept for it. */
-  takeKeys(nodeId: string): KeptKeyMemory | null;
+  takeKeys(nodeId: string): StoredKeyMemory | null;
   /** The state this node has of a stream, or undefined where it has none to rely on. */
   streamState(stream: string): object | undefined;
 }
@@ -47,10 +47,10 @@
   });
   return t.router({
     hello: t.procedure.input(helloSchema).mutation(({ input }) => service.hello(input)),
-    workerReport: t.procedure.input(askedReportSchema).mutation(({ input }) => {
+    workerReport: t.procedure.input(polledReportSchema).mutation(({ input }) => {
       service.workerReport(input);
     }),
-    keepKeys: t.procedure.input(keyMemorySchema).mutation(({ input }) => {
+    keepKeys: t.procedure.input(keyMemorySnapshotSchema).mutation(({ input }) => {
       service.keepKeys(input);
     }),
     takeKeys: t.procedure.input(z.string()).mutation(({ input }) => service.takeKeys(input)),
--- a/packages/daemon/src/internal/peer-task.ts
+++ b/packages/daemon/src/internal/peer-task.ts
@@ -4,13 +4,13 @@
 import type { TRPCClient } from '@trpc/client';
 import { createTRPCClient, httpLink } from '@trpc/client';
 import type {
-  HandedKeyMemory,
+  KeyMemorySnapshot,
   Hello,
   HybridClock,
-  KeptKeyMemory,
+  StoredKeyMemory,
   KeyedAnswer,
   KeyedRequest,
-  AskedReport,
+  PolledReport,
 } from '@redwingcrank/protocol';
 import { CodedError, helloSchema } from '@redwingcrank/protocol';
 import type { SharedKeys } from '@redwingcrank/ports';
@@ -74,7 +74,7 @@
   #stopped = false;
 
   /** Worker reports that peers fetched. */
-  readonly workerReports$ = new Subject<AskedReport>();
+  readonly workerReports$ = new Subject<PolledReport>();
 
   /** Fires after each exchange. */
   readonly heard$ = new Subject<Hello>();
@@ -143,7 +143,7 @@
   }
 
   /** Hands a worker's report to the node that decides about its data centre. */
-  async sendReport(nodeId: string, asked: AskedReport): Promise<void> {
+  async sendReport(nodeId: string, asked: PolledReport): Promise<void> {
     const peer = this.#peers.find((p) => p.setting.nodeId === nodeId);
     // A lost report is made good by the next one.
     await peer?.client.workerReport.mutate(asked).catch(() => undefined);
@@ -157,7 +157,7 @@
   }
 
   /** Gives peers this node's keys to keep: two, in case that one is replaced as well. */
-  async handKeys(memory: HandedKeyMemory): Promise<void> {
+  async handKeys(memory: KeyMemorySnapshot): Promise<void> {
     const alive = this.alive().map(({ nodeId }) => nodeId);
     const keepers = this.#peers
       .filter(({ setting }) => alive.includes(setting.nodeId))
@@ -169,7 +169,7 @@
   }
 
   /** Takes back the keys of this node's predecessor from whoever keeps them. */
-  async takeKeys(nodeId: string, incarnation: string): Promise<KeptKeyMemory | undefined> {
+  async takeKeys(nodeId: string, incarnation: string): Promise<StoredKeyMemory | undefined> {
     const found = await Promise.all(
       this.#peers.map(({ client }) => client.takeKeys.mutate(nodeId).catch(() => null)),
     );
--- a/packages/daemon/src/internal/scheduler-task.ts
+++ b/packages/daemon/src/internal/scheduler-task.ts
@@ -1,6 +1,6 @@
 import { randomUUID } from 'node:crypto';
 import type {
-  AskedReport,
+  PolledReport,
   ControlAction,
   ControlRecord,
   EventFields,
@@ -24,7 +24,7 @@
 import type { Throttler } from './throttler.js';
 
 export type SchedulerMessage =
-  { readonly type: 'pass' } | { readonly type: 'report'; readonly asked: AskedReport };
+  { readonly type: 'pass' } | { readonly type: 'report'; readonly asked: PolledReport };
 
 export interface SchedulerOptions {
   readonly nodeId: string;
--- a/packages/daemon/src/internal/settings.ts
+++ b/packages/daemon/src/internal/settings.ts
@@ -6,7 +6,7 @@
   YARGS_PARSING,
   describeSettings,
   layerSettings,
-  variableOf,
+  environmentVariableOf,
   yargsOptions,
 } from '@redwingcrank/ports';
 
@@ -175,7 +175,7 @@
 } as const satisfies SettingOptions;
 
 /** One environment may hold the settings of the command line as well. */
-const CLI_VARIABLES = ['nodes', 'json', 'wait-ms'].map(variableOf);
+const CLI_VARIABLES = ['nodes', 'json', 'wait-ms'].map(environmentVariableOf);
 
 /** The settings with what is needed to explain them. */
 export interface LoadedSettings {
--- a/packages/daemon/src/internal/stream-follower.ts
+++ b/packages/daemon/src/internal/stream-follower.ts
@@ -1,7 +1,7 @@
 import { Subject } from 'rxjs';
 import type { LogEntry } from '@redwingcrank/protocol';
 import type { PlatformLog } from '@redwingcrank/ports';
-import { PAGE_LIMIT } from '@redwingcrank/ports';
+import { LOG_PAGE_LIMIT } from '@redwingcrank/ports';
 import { Backoff } from './backoff.js';
 import { sleep } from './sleep.js';
 
@@ -88,7 +88,7 @@
       if (page.first > this.#next) this.lost$.next({ from: this.#next, first: page.first });
       page.entries.forEach((entry) => this.entries$.next(entry));
       this.#next = page.next;
-      if (page.entries.length >= PAGE_LIMIT) return 'more';
+      if (page.entries.length >= LOG_PAGE_LIMIT) return 'more';
       this.#lastReadStartedAt = startedAt;
       this.reached$.next(true);
       return 'end';
--- a/packages/decisions/src/observe-report.ts
+++ b/packages/decisions/src/observe-report.ts
@@ -1,4 +1,4 @@
-import type { AskedReport, ControlAction, TaskReport, WorkerReport } from '@redwingcrank/protocol';
+import type { PolledReport, ControlAction, TaskReport, WorkerReport } from '@redwingcrank/protocol';
 import type { ControlFold, TaskState } from './control-fold.js';
 
 /**
@@ -10,7 +10,7 @@
  */
 export function* observeReport(
   fold: ControlFold,
-  { askedOffset, report }: AskedReport,
+  { askedOffset, report }: PolledReport,
 ): Generator<ControlAction, void> {
   const host = fold.hosts.get(report.hostId);
   if (!host) return;
@@ -30,7 +30,7 @@
 function* observeListed(
   task: TaskState,
   seen: TaskReport,
-  { askedOffset, report }: AskedReport,
+  { askedOffset, report }: PolledReport,
 ): Generator<ControlAction, void> {
   const { taskId, attempt } = task;
   const { endpoint, checkpoint, lostMs, state } = seen;
--- a/packages/decisions/src/rebind/control-node.ts
+++ b/packages/decisions/src/rebind/control-node.ts
@@ -1,5 +1,5 @@
 import type {
-  AskedReport,
+  PolledReport,
   ControlAction,
   ListedHost,
   Manifest,
@@ -68,7 +68,7 @@
   /** Since when this node, as holder without a pause, has expected hellos, by member key. */
   readonly #memberWatchedSince = new Map<string, number>();
 
-  #pendingReports: AskedReport[] = [];
+  #pendingReports: PolledReport[] = [];
 
   #lastReadStartedAt: number | undefined;
 
@@ -120,7 +120,7 @@
   }
 
   /** Keeps a worker's report for the next pass. */
-  onReport(asked: AskedReport, now: number): void {
+  onReport(asked: PolledReport, now: number): void {
     this.#liveness.onReport(asked.report.hostId, now);
     if (this.#pendingReports.length < MAX_PENDING_REPORTS) this.#pendingReports.push(asked);
   }
@@ -189,7 +189,7 @@
   }
 
   *#observations(
-    reports: readonly AskedReport[],
+    reports: readonly PolledReport[],
     unreachable: ReadonlySet<string>,
     now: number,
   ): Generator<ControlAction> {
--- a/packages/decisions/src/snapshot-parts.ts
+++ b/packages/decisions/src/snapshot-parts.ts
@@ -1,5 +1,5 @@
 import type { SnapshotPart } from '@redwingcrank/protocol';
-import { MAX_SNAPSHOT_PARTS, SNAPSHOT_PART_CHARS } from '@redwingcrank/protocol';
+import { MAX_SNAPSHOT_PARTS, MAX_SNAPSHOT_PART_CHARS } from '@redwingcrank/protocol';
 
 /** Maximum number of incomplete snapshots kept; more are written at once only by mistake. */
 const MAX_OPEN_SNAPSHOTS = 8;
@@ -16,11 +16,11 @@
   state: { readonly offset: number },
 ): Generator<SnapshotPart> {
   const text = JSON.stringify(state);
-  const parts = Math.ceil(text.length / SNAPSHOT_PART_CHARS);
+  const parts = Math.ceil(text.length / MAX_SNAPSHOT_PART_CHARS);
   if (parts > MAX_SNAPSHOT_PARTS) throw new RangeError(`snapshot too large: ${parts} parts`);
   for (let part = 0; part < parts; part += 1) {
-    const start = part * SNAPSHOT_PART_CHARS;
-    const data = text.slice(start, start + SNAPSHOT_PART_CHARS);
+    const start = part * MAX_SNAPSHOT_PART_CHARS;
+    const data = text.slice(start, start + MAX_SNAPSHOT_PART_CHARS);
     yield { type: 'snapshot-part', id, part, parts, upTo: state.offset, data };
   }
 }
--- a/packages/docs/src/settings-page.ts
+++ b/packages/docs/src/settings-page.ts
@@ -1,7 +1,7 @@
 import { COMMANDS, COMMON_OPTIONS } from '@redwingcrank/cli';
 import { NODE_OPTIONS } from '@redwingcrank/daemon';
 import type { SettingOptions } from '@redwingcrank/ports';
-import { variableOf } from '@redwingcrank/ports';
+import { environmentVariableOf } from '@redwingcrank/ports';
 import type { GeneratedFile } from './generated-file.js';
 import { markdownTable, pageHead } from './generated-file.js';
 
@@ -21,7 +21,7 @@
 function table(options: SettingOptions): string {
   const rows = Object.entries(options).map(([flag, option]) => [
     `\`--${flag}\``,
-    `\`${variableOf(flag)}\``,
+    `\`${environmentVariableOf(flag)}\``,
     fallbackOf(option.default),
     `${option.describe}${option.secret ? ' (secret)' : ''}`,
   ]);
--- a/packages/fuzz/src/one-place/model-node.ts
+++ b/packages/fuzz/src/one-place/model-node.ts
@@ -1,5 +1,5 @@
 import type {
-  AskedReport,
+  PolledReport,
   ControlAction,
   ControlRecord,
   ListedHost,
@@ -249,7 +249,7 @@
     }
   }
 
-  #reported(asked: AskedReport): void {
+  #reported(asked: PolledReport): void {
     this.#control.onReport(asked, this.#clock());
     const holder = this.#control.fold.holder?.split('/')[0];
     const { nodes, network } = this.#world;
--- a/packages/ports/src/internal/http-platform-log.ts
+++ b/packages/ports/src/internal/http-platform-log.ts
@@ -1,6 +1,6 @@
 import type { LogPage } from '@redwingcrank/protocol';
-import { appendedSchema, logPageSchema } from '@redwingcrank/protocol';
-import { PAGE_LIMIT, PlatformLog } from '../platform-log.js';
+import { appendResponseSchema, logPageSchema } from '@redwingcrank/protocol';
+import { LOG_PAGE_LIMIT, PlatformLog } from '../platform-log.js';
 import { callJson } from './json-call.js';
 
 /** The log over HTTP. */
@@ -22,7 +22,7 @@
       method: 'POST',
       body: { record },
       timeoutMs: this.#timeoutMs,
-      schema: appendedSchema,
+      schema: appendResponseSchema,
       failure: 'logUnavailable',
     });
     return appended.offset;
@@ -34,7 +34,7 @@
     waitMs: number,
     signal?: AbortSignal,
   ): Promise<LogPage> {
-    const query = `from=${from}&waitMs=${waitMs}&limit=${PAGE_LIMIT}`;
+    const query = `from=${from}&waitMs=${waitMs}&limit=${LOG_PAGE_LIMIT}`;
     return callJson({
       url: `${this.#baseUrl}/streams/${stream}/records?${query}`,
       method: 'GET',
--- a/packages/ports/src/internal/setting-layers.ts
+++ b/packages/ports/src/internal/setting-layers.ts
@@ -46,7 +46,7 @@
 const YARGS_KEYS = new Set(['_', '$0', 'help', 'version']);
 
 /** The name of the variable for a flag. */
-export function variableOf(flag: string): string {
+export function environmentVariableOf(flag: string): string {
   return PREFIX + flag.toUpperCase().replaceAll('-', '_');
 }
 
@@ -78,7 +78,7 @@
   if (given !== undefined) {
     return [option.array && Array.isArray(given) ? splitList(given) : given, 'flag'];
   }
-  const text = env[variableOf(flag)];
+  const text = env[environmentVariableOf(flag)];
   if (text !== undefined) return [fromVariable(option, text), 'variable'];
   return [option.default, option.default === undefined ? 'unset' : 'default'];
 }
@@ -89,7 +89,7 @@
 }
 
 function unknownVariables({ options, env, otherVariables = [] }: LayerInput): Fault[] {
-  const known = new Set([...Object.keys(options).map(variableOf), ...otherVariables]);
+  const known = new Set([...Object.keys(options).map(environmentVariableOf), ...otherVariables]);
   const strange = Object.keys(env).filter((name) => name.startsWith(PREFIX) && !known.has(name));
   return strange.map((name) => ({ path: 'variables', expected: 'known variables', found: name }));
 }
@@ -118,7 +118,7 @@
   { values, sources }: LayeredSettings,
 ): Generator<string, void> {
   for (const [flag, option] of Object.entries(options)) {
-    const source = sources[flag] === 'variable' ? variableOf(flag) : sources[flag];
+    const source = sources[flag] === 'variable' ? environmentVariableOf(flag) : sources[flag];
     yield `${flag}=${shown(option, values[camelCase(flag)])} (${source})`;
   }
 }
--- a/packages/ports/src/platform-log.ts
+++ b/packages/ports/src/platform-log.ts
@@ -1,7 +1,7 @@
 import type { LogPage } from '@redwingcrank/protocol';
 
 /** A read gives at most so many records; fewer mean that it came to the end of the stream. */
-export const PAGE_LIMIT = 500;
+export const LOG_PAGE_LIMIT = 500;
 
 /**
  * The platform's append-only log. A record may stand on it although the append threw: its answer
@@ -19,7 +19,7 @@
 
   /**
    * Reads from an offset, waiting up to `waitMs` for a first record. A page of fewer than
-   * {@link PAGE_LIMIT} records holds all that stood on the log when the read was started.
+   * {@link LOG_PAGE_LIMIT} records holds all that stood on the log when the read was started.
    *
    * @param signal - Ends the wait early.
    * @throws PlatformError (401) where no answer came in time.
--- a/packages/protocol/src/keyed-request.ts
+++ b/packages/protocol/src/keyed-request.ts
@@ -53,7 +53,7 @@
 export type KeyedAnswer = z.infer<typeof keyedAnswerSchema>;
 
 /** The keys of a home that ended, kept by a peer until the home starts again. */
-export const keyMemorySchema = z.object({
+export const keyMemorySnapshotSchema = z.object({
   nodeId: z.string(),
   /** The process that ended: only its direct successor may take the memory over. */
   incarnation: z.string(),
@@ -70,10 +70,10 @@
     .readonly(),
 });
 
-export type HandedKeyMemory = z.infer<typeof keyMemorySchema>;
+export type KeyMemorySnapshot = z.infer<typeof keyMemorySnapshotSchema>;
 
 /** A kept memory, with the milliseconds for which it was kept. */
-export interface KeptKeyMemory {
-  readonly memory: HandedKeyMemory;
+export interface StoredKeyMemory {
+  readonly memory: KeyMemorySnapshot;
   readonly heldMs: number;
 }
--- a/packages/protocol/src/log-messages.ts
+++ b/packages/protocol/src/log-messages.ts
@@ -10,7 +10,7 @@
   next: z.int().min(0),
 });
 
-export const appendedSchema = z.object({ offset: z.int().min(0) });
+export const appendResponseSchema = z.object({ offset: z.int().min(0) });
 
 export type LogEntry = z.infer<typeof logEntrySchema>;
 export type LogPage = z.infer<typeof logPageSchema>;
--- a/packages/protocol/src/manifest.ts
+++ b/packages/protocol/src/manifest.ts
@@ -169,7 +169,7 @@
   });
 }
 
-export type ManifestReading =
+export type ManifestParseResult =
   | { readonly ok: true; readonly manifest: Manifest }
   | { readonly ok: false; readonly faults: Fault[] };
 
@@ -179,7 +179,7 @@
  * @param input - The parsed JSON.
  * @returns The manifest with defaults filled in, or every fault.
  */
-export function readManifest(input: unknown): ManifestReading {
+export function readManifest(input: unknown): ManifestParseResult {
   const reading = manifestSchema.safeParse(input);
   if (reading.success) return { ok: true, manifest: reading.data };
   return { ok: false, faults: faultsOf(reading.error, input) };
--- a/packages/protocol/src/snapshot-part.ts
+++ b/packages/protocol/src/snapshot-part.ts
@@ -4,7 +4,7 @@
  * The most characters of state in one part. A record stays well under 256 KiB, also where every
  * character of it has to be escaped once.
  */
-export const SNAPSHOT_PART_CHARS = 65_536;
+export const MAX_SNAPSHOT_PART_CHARS = 65_536;
 
 /** A state of more parts than this is not written: it would be 64 MiB. */
 export const MAX_SNAPSHOT_PARTS = 1_024;
@@ -21,7 +21,7 @@
   parts: z.int().min(1).max(MAX_SNAPSHOT_PARTS),
   upTo: z.int().min(-1),
   /** A slice of the state's JSON text. */
-  data: z.string().max(SNAPSHOT_PART_CHARS),
+  data: z.string().max(MAX_SNAPSHOT_PART_CHARS),
 });
 
 export type SnapshotPart = z.infer<typeof snapshotPartSchema>;
--- a/packages/protocol/src/worker-messages.ts
+++ b/packages/protocol/src/worker-messages.ts
@@ -53,7 +53,7 @@
  * A report with the control-stream offset that the asking node had folded when it asked: the
  * report shows the worker as it was after that record was written, however late it arrives.
  */
-export const askedReportSchema = z.object({ askedOffset: z.int(), report: workerReportSchema });
+export const polledReportSchema = z.object({ askedOffset: z.int(), report: workerReportSchema });
 
 /**
  * The worker refuses it where the heartbeat is of another incarnation or older than the lease:
@@ -93,7 +93,7 @@
 export type TaskReport = z.infer<typeof taskReportSchema>;
 export type UsageReport = z.infer<typeof usageReportSchema>;
 export type WorkerReport = z.infer<typeof workerReportSchema>;
-export type AskedReport = z.infer<typeof askedReportSchema>;
+export type PolledReport = z.infer<typeof polledReportSchema>;
 export type StartMessage = z.infer<typeof startMessageSchema>;
 export type RenewMessage = z.infer<typeof renewMessageSchema>;
 export type StopMessage = z.infer<typeof stopMessageSchema>;
