--- a/packages/daemon/src/internal/answer-buffer.ts
+++ b/packages/daemon/src/internal/answer-buffer.ts
@@ -2,7 +2,7 @@
 import { RequestError } from './problem.js';
 
 /** A whole answer in memory. */
-export interface WholeAnswer {
+export interface BufferedAnswer {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: Buffer;
@@ -16,7 +16,7 @@
  *
  * @throws RequestError (305) where it was cut short or is too large: the request did run.
  */
-export async function readAnswer(res: http.IncomingMessage): Promise<WholeAnswer> {
+export async function readAnswer(res: http.IncomingMessage): Promise<BufferedAnswer> {
   const chunks: Buffer[] = [];
   let size = 0;
   try {
--- a/packages/daemon/src/internal/caller-listener.ts
+++ b/packages/daemon/src/internal/caller-listener.ts
@@ -16,7 +16,7 @@
 const DRAIN_POLL_MS = 20;
 
 /** Answers one request; settles when the answer is out or its connection is destroyed. */
-export type Serve = (req: http.IncomingMessage, res: http.ServerResponse) => Promise<void>;
+export type RequestHandler = (req: http.IncomingMessage, res: http.ServerResponse) => Promise<void>;
 
 interface CallerConnection {
   open: number;
@@ -34,7 +34,7 @@
   #draining = false;
 
   /** @param idleGraceMs - How long a drain waits for a request on an idle connection. */
-  constructor(serve: Serve, idleGraceMs: number) {
+  constructor(serve: RequestHandler, idleGraceMs: number) {
     this.#idleGraceMs = idleGraceMs;
     this.#server = http.createServer(
       {
@@ -92,7 +92,11 @@
     socket.once('close', () => this.#connections.delete(socket));
   }
 
-  async #track(req: http.IncomingMessage, res: http.ServerResponse, serve: Serve): Promise<void> {
+  async #track(
+    req: http.IncomingMessage,
+    res: http.ServerResponse,
+    serve: RequestHandler,
+  ): Promise<void> {
     const connection = this.#connections.get(req.socket);
     if (connection) connection.open += 1;
     // Only after `close` have the last bytes been handed to the connection.
--- a/packages/daemon/src/internal/control-task.ts
+++ b/packages/daemon/src/internal/control-task.ts
@@ -34,7 +34,7 @@
     this.dataCentre = dataCentre;
   }
 
-  protected override folded(result: ApplyResult, offset: number): void {
+  protected override onFolded(result: ApplyResult, offset: number): void {
     this.folded$.next(result);
     for (const reason of result.voided) {
       this.events.emit('warn', 'control-voided', { dc: this.dataCentre, offset, reason });
@@ -42,11 +42,11 @@
     this.changed$.next();
   }
 
-  protected override readToEnd(startedAt: number): void {
+  protected override onReadToEnd(startedAt: number): void {
     this.readToEnd$.next(startedAt);
   }
 
-  protected override restored(): void {
+  protected override onRestored(): void {
     this.restored$.next();
     this.changed$.next();
   }
--- a/packages/daemon/src/internal/dispatcher.ts
+++ b/packages/daemon/src/internal/dispatcher.ts
@@ -18,7 +18,7 @@
 import { RequestError } from './problem.js';
 
 /** One request on its way, with all that decides about it. */
-export interface Passage {
+export interface RelayedRequest {
   readonly service: Service;
   readonly idempotent: boolean;
   readonly request: ForwardRequest;
@@ -29,13 +29,13 @@
 }
 
 /** The endpoints of a service, nearest first: each list is tried when those before are full. */
-export type EndpointsOf = (service: Service) => readonly (readonly Endpoint[])[];
+export type EndpointLookup = (service: Service) => readonly (readonly Endpoint[])[];
 
 export interface DispatcherOptions {
   readonly pool: EndpointPool;
   readonly picker: EndpointPicker;
   readonly metrics: EntryMetrics;
-  readonly endpoints: EndpointsOf;
+  readonly endpoints: EndpointLookup;
 }
 
 /** A request goes to so many endpoints at most. */
@@ -53,7 +53,7 @@
 const NO_ENDPOINT_RETRY_S = 1;
 
 interface Waiter {
-  readonly passage: Passage;
+  readonly passage: RelayedRequest;
   readonly grant: (endpoint: Endpoint) => void;
 }
 
@@ -85,7 +85,7 @@
    * @returns The answer; its body is still to be read, and its slot is taken until it closes.
    * @throws RequestError (302, 303, 304, 305)
    */
-  async send(passage: Passage): Promise<http.IncomingMessage> {
+  async send(passage: RelayedRequest): Promise<http.IncomingMessage> {
     this.#stateOf(passage.service).budget.addRequest();
     const tried = new Set<string>();
     let state = requestChart.initial;
@@ -109,7 +109,11 @@
     for (const state of this.#services.values()) this.#pump(state);
   }
 
-  #next(passage: Passage, result: ForwardResult, tried: ReadonlySet<string>): Endpoint | undefined {
+  #next(
+    passage: RelayedRequest,
+    result: ForwardResult,
+    tried: ReadonlySet<string>,
+  ): Endpoint | undefined {
     if (passage.signal.aborted || tried.size >= MAX_SENDS) return undefined;
     const endpoint = this.#pick(passage, tried);
     if (!endpoint) return undefined;
@@ -118,7 +122,7 @@
     return paid ? this.#occupy(passage.service, endpoint) : undefined;
   }
 
-  async #takeSlot(passage: Passage): Promise<Endpoint> {
+  async #takeSlot(passage: RelayedRequest): Promise<Endpoint> {
     const { service } = passage;
     const { queue } = this.#stateOf(service);
     // Whoever waits already goes first.
@@ -131,7 +135,7 @@
     });
   }
 
-  #wait(passage: Passage, capacity: number): Promise<Endpoint> {
+  #wait(passage: RelayedRequest, capacity: number): Promise<Endpoint> {
     const { service, signal, deadlineAt } = passage;
     const { queue } = this.#stateOf(service);
     return new Promise((resolve, reject) => {
@@ -183,7 +187,7 @@
   }
 
   async #sendOnce(
-    passage: Passage,
+    passage: RelayedRequest,
     endpoint: Endpoint,
     tried: ReadonlySet<string>,
   ): Promise<ForwardResult> {
@@ -226,7 +230,7 @@
    * since its answer may yet come and it cannot be sent again.
    */
   #silent(
-    passage: Passage,
+    passage: RelayedRequest,
     endpoint: Endpoint,
     tried: ReadonlySet<string>,
     giveUp: () => void,
@@ -251,7 +255,7 @@
   }
 
   /** Nearest first; other data centres are looked at only when the nearest have no room. */
-  #pick(passage: Passage, tried: ReadonlySet<string>): Endpoint | undefined {
+  #pick(passage: RelayedRequest, tried: ReadonlySet<string>): Endpoint | undefined {
     const groups = this.#options.endpoints(passage.service);
     const now = performance.now();
     let healthy = false;
@@ -267,7 +271,7 @@
 
   #pickOf(
     endpoints: readonly Endpoint[],
-    { service }: Passage,
+    { service }: RelayedRequest,
     tried: ReadonlySet<string>,
     now: number,
   ): Endpoint | undefined {
@@ -312,7 +316,7 @@
 }
 
 function errorOf(
-  { service, signal }: Passage,
+  { service, signal }: RelayedRequest,
   outcome: RequestError['outcome'],
   last: ForwardResult | undefined,
 ): RequestError {
--- a/packages/daemon/src/internal/entry-role.ts
+++ b/packages/daemon/src/internal/entry-role.ts
@@ -14,7 +14,7 @@
 import { EndpointPool } from './endpoint-pool.js';
 import { EntryMetrics } from './entry-metrics.js';
 import { EntryTask } from './entry-task.js';
-import { recordHome } from './home-history.js';
+import { registerIncarnation } from './home-history.js';
 import { KeyHomeTask } from './key-home-task.js';
 import { KeyedRequests, digestOfHosts } from './keyed-requests.js';
 import type { NodeContext } from './node-context.js';
@@ -81,7 +81,7 @@
 
   async #openKeyHome(): Promise<void> {
     const { nodeId } = this.#ctx.settings;
-    const predecessor = await recordHome(this.#ctx.log, nodeId, this.#ctx.incarnation);
+    const predecessor = await registerIncarnation(this.#ctx.log, nodeId, this.#ctx.incarnation);
     if (predecessor.type === 'known') {
       this.#keyHome.open(await this.#ctx.peers.takeKeys(nodeId, predecessor.incarnation));
     } else {
@@ -96,7 +96,7 @@
     this.#keyHome.drain();
     await Promise.race([this.#keyHome.whenIdle(), sleep(drainMs)]);
     const { incarnation } = this.#ctx;
-    await this.#ctx.peers.handKeys({ nodeId, incarnation, ...this.#keyHome.export() });
+    await this.#ctx.peers.handOverKeys({ nodeId, incarnation, ...this.#keyHome.export() });
   }
 
   /** Forgets which endpoints there are, and closes connections to those that are gone. */
@@ -168,7 +168,7 @@
         nodeId,
         hosts: this.#entryHosts(),
         home: this.#keyHome,
-        hop: this.#ctx.peers,
+        homeClient: this.#ctx.peers,
       }),
       manifest: () => this.#ctx.manifest.manifest$.value,
     });
--- a/packages/daemon/src/internal/entry-task.ts
+++ b/packages/daemon/src/internal/entry-task.ts
@@ -4,7 +4,7 @@
 import { CodedError } from '@redwingcrank/protocol';
 import { isIdempotent, serviceOfPath } from '@redwingcrank/decisions';
 import { CallerListener } from './caller-listener.js';
-import type { Dispatcher, Passage } from './dispatcher.js';
+import type { Dispatcher, RelayedRequest } from './dispatcher.js';
 import {
   deadlineOf,
   endToEndHeaders,
@@ -122,7 +122,7 @@
     res.end(body);
   }
 
-  async #passageOf(req: http.IncomingMessage, lifetime: RequestLifetime): Promise<Passage> {
+  async #passageOf(req: http.IncomingMessage, lifetime: RequestLifetime): Promise<RelayedRequest> {
     if (req.httpVersion !== '1.1') {
       // In HTTP/1.0 the end of an answer may be the end of its connection, cut short or not.
       throw new RequestError('badRequest', 'expected HTTP/1.1', 'not-run');
@@ -136,7 +136,7 @@
     const idempotent = isIdempotent(service, method, path, idempotentHeaderOf(req.headers));
     const deadlineMs = deadlineOf(req.headers) ?? service.defaultDeadlineMs;
     const deadlineAt = performance.now() + deadlineMs;
-    const signal = lifetime.endAfter(deadlineMs);
+    const signal = lifetime.abortAfter(deadlineMs);
     const body = await readBody(req);
     const { 'content-length': _length, ...headers } = endToEndHeaders(req.headers);
     const framed = METHODS_WITHOUT_BODY.has(method) && body.length === 0;
--- a/packages/daemon/src/internal/home-history.ts
+++ b/packages/daemon/src/internal/home-history.ts
@@ -17,7 +17,7 @@
  * Puts this process on record and finds out who came before it. Each process does so before it
  * runs any key, so none that ran keys can be missing. Asks until the log answers.
  */
-export async function recordHome(
+export async function registerIncarnation(
   log: PlatformLog,
   nodeId: string,
   incarnation: string,
--- a/packages/daemon/src/internal/key-keeper.ts
+++ b/packages/daemon/src/internal/key-memory-store.ts
@@ -9,7 +9,7 @@
 }
 
 /** Keeps the keys of peers that were shut down, until they are back. */
-export class KeyKeeper {
+export class KeyMemoryStore {
   readonly #kept = new Map<string, Kept>();
 
   keep(memory: HandedKeyMemory): void {
--- a/packages/daemon/src/internal/keyed-requests.ts
+++ b/packages/daemon/src/internal/keyed-requests.ts
@@ -3,12 +3,12 @@
 import type { KeyedAnswer, KeyedRequest } from '@redwingcrank/protocol';
 import type { EntryHost } from '@redwingcrank/decisions';
 import { keyHome } from '@redwingcrank/decisions';
-import type { Passage } from './dispatcher.js';
+import type { RelayedRequest } from './dispatcher.js';
 import type { KeyHomeTask } from './key-home-task.js';
 import { RequestError } from './problem.js';
 
 /** How a keyed request reaches its home on another node. */
-export interface KeyHop {
+export interface KeyHomeClient {
   /** Whether the node has been heard from before, but not of late. */
   silent(nodeId: string): boolean;
   /** @throws Error where no answer came; its causes tell whether there was a connection. */
@@ -20,11 +20,11 @@
   /** All entry hosts by the settings, this one included. */
   readonly hosts: readonly EntryHost[];
   readonly home: KeyHomeTask;
-  readonly hop: KeyHop;
+  readonly homeClient: KeyHomeClient;
 }
 
 /** What the caller said about the key. */
-export interface Key {
+export interface IdempotencyKey {
   readonly key: string;
   readonly ageMs: number | undefined;
 }
@@ -52,7 +52,7 @@
   }
 
   /** @throws RequestError (305, 309 to 312, and all that an unkeyed request may get) */
-  async send({ key, ageMs }: Key, passage: Passage): Promise<KeyedAnswer> {
+  async send({ key, ageMs }: IdempotencyKey, passage: RelayedRequest): Promise<KeyedAnswer> {
     const { service, request, deadlineAt } = passage;
     const call: KeyedRequest = {
       key,
@@ -73,12 +73,12 @@
   }
 
   async #atHome(call: KeyedRequest, signal: AbortSignal): Promise<KeyedAnswer> {
-    const { nodeId, hosts, home, hop } = this.#options;
+    const { nodeId, hosts, home, homeClient } = this.#options;
     const homeId = keyHome(call.key, hosts) ?? nodeId;
     if (homeId === nodeId) return home.answer(call);
-    if (hop.silent(homeId)) throw unreachable(homeId, 'it is silent', true);
+    if (homeClient.silent(homeId)) throw unreachable(homeId, 'it is silent', true);
     try {
-      return await hop.runKeyed(homeId, call, signal);
+      return await homeClient.runKeyed(homeId, call, signal);
     } catch (err) {
       if (signal.aborted) {
         throw new RequestError('deadlineExceeded', `no answer of ${homeId}`, 'unknown');
@@ -106,7 +106,7 @@
 }
 
 /** Everything that makes two requests the same one, with who asks: no caller gets another's answer. */
-function fingerprintOf({ service, request }: Passage): string {
+function fingerprintOf({ service, request }: RelayedRequest): string {
   const { authorization, cookie } = request.headers as http.IncomingHttpHeaders;
   const head = JSON.stringify([service.name, request.method, request.path, authorization, cookie]);
   return createHash('sha256').update(head).update(request.body).digest('hex');
--- a/packages/daemon/src/internal/lease-keeper.ts
+++ b/packages/daemon/src/internal/lease-keeper.ts
@@ -61,7 +61,7 @@
    * Looks at once after the hosts on which something is to be started or stopped, and after those
    * whose worker was never heard: nothing starts there before.
    */
-  tendChanged(): void {
+  reconcileChanged(): void {
     const { tasks } = this.#options.control.fold;
     const isOpen = (taskId: string): boolean => {
       const state = tasks.get(taskId)?.state;
--- a/packages/daemon/src/internal/manifest-task.ts
+++ b/packages/daemon/src/internal/manifest-task.ts
@@ -28,7 +28,7 @@
     return this.#fold.rejections;
   }
 
-  protected override folded(verdict: ManifestVerdict): void {
+  protected override onFolded(verdict: ManifestVerdict): void {
     const { offset } = verdict;
     if (verdict.accepted) {
       this.events.emit('info', 'manifest-in-force', { version: verdict.manifest.version, offset });
@@ -39,7 +39,7 @@
     this.events.emit('warn', 'manifest-rejected', { offset, id, reason, detail });
   }
 
-  protected override restored(): void {
+  protected override onRestored(): void {
     const { inForce, offset } = this.#fold;
     if (!inForce || inForce.version === this.manifest$.value?.version) return;
     this.events.emit('info', 'manifest-in-force', { version: inForce.version, offset });
--- a/packages/daemon/src/internal/peer-task.ts
+++ b/packages/daemon/src/internal/peer-task.ts
@@ -15,7 +15,7 @@
 import { CodedError, helloSchema } from '@redwingcrank/protocol';
 import type { SharedKeys } from '@redwingcrank/ports';
 import { LISTENER_LIMITS } from '@redwingcrank/ports';
-import { KeyKeeper } from './key-keeper.js';
+import { KeyMemoryStore } from './key-memory-store.js';
 import type { PeerRouter } from './peer-router.js';
 import { makePeerRouter } from './peer-router.js';
 import { sendProblem } from './problem.js';
@@ -69,7 +69,7 @@
 
   readonly #server: http.Server;
 
-  readonly #keeper = new KeyKeeper();
+  readonly #keeper = new KeyMemoryStore();
 
   #stopped = false;
 
@@ -77,7 +77,7 @@
   readonly workerReports$ = new Subject<AskedReport>();
 
   /** Fires after each exchange. */
-  readonly heard$ = new Subject<Hello>();
+  readonly hellos$ = new Subject<Hello>();
 
   constructor(options: PeerTaskOptions) {
     this.#options = options;
@@ -157,7 +157,7 @@
   }
 
   /** Gives peers this node's keys to keep: two, in case that one is replaced as well. */
-  async handKeys(memory: HandedKeyMemory): Promise<void> {
+  async handOverKeys(memory: HandedKeyMemory): Promise<void> {
     const alive = this.alive().map(({ nodeId }) => nodeId);
     const keepers = this.#peers
       .filter(({ setting }) => alive.includes(setting.nodeId))
@@ -176,7 +176,7 @@
     return found.find((kept) => kept?.memory.incarnation === incarnation) ?? undefined;
   }
 
-  /** Brings a keyed request to its home; see KeyHop. */
+  /** Brings a keyed request to its home; see KeyHomeClient. */
   async runKeyed(nodeId: string, call: KeyedRequest, signal: AbortSignal): Promise<KeyedAnswer> {
     const peer = this.#peers.find((p) => p.setting.nodeId === nodeId);
     if (!peer) throw new Error(`no address of ${nodeId}`);
@@ -227,7 +227,7 @@
       peer.hello = hello;
       peer.heardAt = performance.now();
     }
-    this.heard$.next(hello);
+    this.hellos$.next(hello);
     return this.#options.self();
   }
 }
--- a/packages/daemon/src/internal/request-lifetime.ts
+++ b/packages/daemon/src/internal/request-lifetime.ts
@@ -15,7 +15,7 @@
   }
 
   /** @returns A signal that fires after so many milliseconds, or when the caller is gone. */
-  endAfter(ms: number): AbortSignal {
+  abortAfter(ms: number): AbortSignal {
     this.#timer = setTimeout(() => this.#end.abort(), ms);
     return this.#end.signal;
   }
--- a/packages/daemon/src/internal/scheduling-role.ts
+++ b/packages/daemon/src/internal/scheduling-role.ts
@@ -88,7 +88,7 @@
     this.#ctx.control.folded$.subscribe((result) => decider.onFolded(result, performance.now()));
     this.#ctx.control.restored$.subscribe(() => decider.onRestored(performance.now()));
     this.#ctx.control.readToEnd$.subscribe((startedAt) => decider.onReadToEnd(startedAt));
-    this.#ctx.peers.heard$.subscribe((hello) => {
+    this.#ctx.peers.hellos$.subscribe((hello) => {
       // Offsets of another data centre's stream promise nothing here.
       if (hello.dataCentre === dataCentre) decider.onHello({ ...hello, at: performance.now() });
     });
@@ -186,10 +186,10 @@
       .pipe(auditTime(PASS_DELAY_MS))
       .subscribe(() => {
         this.#scheduler.post({ type: 'pass' });
-        this.#keeper.tendChanged();
+        this.#keeper.reconcileChanged();
       });
     // A holder that shuts down says so: another one takes over at once.
-    this.#ctx.peers.heard$.subscribe((hello) => {
+    this.#ctx.peers.hellos$.subscribe((hello) => {
       if (hello.draining) this.#scheduler.post({ type: 'pass' });
     });
     // A silent peer changes nothing by itself: the clock has to ask whether to claim.
--- a/packages/daemon/src/internal/state-gossip.ts
+++ b/packages/daemon/src/internal/state-gossip.ts
@@ -29,7 +29,7 @@
   }
 
   start(): void {
-    this.#options.peers.heard$.subscribe((hello) => this.#heard(hello));
+    this.#options.peers.hellos$.subscribe((hello) => this.#heard(hello));
   }
 
   #heard(hello: Hello): void {
--- a/packages/daemon/src/internal/stream-follower.ts
+++ b/packages/daemon/src/internal/stream-follower.ts
@@ -45,7 +45,7 @@
   readonly lost$ = new Subject<LostRecords>();
 
   /** True after each read that came to the end, false after each that failed. */
-  readonly reached$ = new Subject<boolean>();
+  readonly reachedEnd$ = new Subject<boolean>();
 
   constructor(log: PlatformLog, stream: string) {
     this.#log = log;
@@ -90,10 +90,10 @@
       this.#next = page.next;
       if (page.entries.length >= PAGE_LIMIT) return 'more';
       this.#lastReadStartedAt = startedAt;
-      this.reached$.next(true);
+      this.reachedEnd$.next(true);
       return 'end';
     } catch {
-      if (!signal.aborted) this.reached$.next(false);
+      if (!signal.aborted) this.reachedEnd$.next(false);
       return 'failed';
     }
   }
--- a/packages/daemon/src/internal/stream-task.ts
+++ b/packages/daemon/src/internal/stream-task.ts
@@ -72,7 +72,7 @@
     super.start();
     this.#follower.entries$.subscribe((entry) => this.post({ type: 'entry', entry }));
     this.#follower.lost$.subscribe((lost) => this.post({ type: 'lost', lost }));
-    this.#follower.reached$.subscribe((reached) => {
+    this.#follower.reachedEnd$.subscribe((reached) => {
       if (reached) this.post({ type: 'end', startedAt: this.#follower.lastReadStartedAt });
     });
     this.#follower.run();
@@ -84,13 +84,13 @@
   }
 
   /** Called for each record that was folded. */
-  protected abstract folded(verdict: V, offset: number): void;
+  protected abstract onFolded(verdict: V, offset: number): void;
 
   /** Called after the state was put in place as a whole. */
-  protected abstract restored(): void;
+  protected abstract onRestored(): void;
 
   /** Called when all is folded that stood on the log when a read was started. */
-  protected readToEnd(_startedAt: number): void {}
+  protected onReadToEnd(_startedAt: number): void {}
 
   protected override async handle(message: StreamMessage): Promise<void> {
     switch (message.type) {
@@ -113,9 +113,9 @@
     const verdicts = this.reader.take(entry);
     if (!wasComplete && this.complete) {
       this.events.emit('info', 'snapshot-taken', { stream: this.#stream, offset: entry.offset });
-      this.restored();
+      this.onRestored();
     }
-    verdicts.forEach((verdict) => this.folded(verdict, entry.offset));
+    verdicts.forEach((verdict) => this.onFolded(verdict, entry.offset));
   }
 
   #lost({ from, first }: LostRecords): void {
@@ -127,7 +127,7 @@
     if (!this.reader.adopt(state)) return;
     this.#source = 'peer';
     this.events.emit('info', 'state-from-peer', { stream: this.#stream, peer });
-    this.restored();
+    this.onRestored();
     this.#catchUp();
   }
 
@@ -135,7 +135,7 @@
     // A node that has reached the end without a whole state knows nothing it could act on.
     if (!this.complete) return;
     this.#source = 'log';
-    this.readToEnd(startedAt);
+    this.onReadToEnd(startedAt);
     this.#catchUp();
   }
 
--- a/packages/daemon/src/test/entry-answers_test.ts
+++ b/packages/daemon/src/test/entry-answers_test.ts
@@ -2,7 +2,7 @@
 import { createHash } from 'node:crypto';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { test } from 'node:test';
-import { EntryFixture, tell } from './entry-fixture.js';
+import { EntryFixture, sendRequest } from './entry-fixture.js';
 import type { Behaviour } from './raw-endpoint.js';
 import { answer } from './raw-endpoint.js';
 
@@ -28,7 +28,7 @@
     for (const key of [undefined, 'k1']) {
       const headers: Record<string, string> = key === undefined ? {} : { 'idempotency-key': key };
       const path = `/hold-${key}`;
-      const sent = tell(`${entry.url}${path}`, { method: 'POST', body: 'x', headers });
+      const sent = sendRequest(`${entry.url}${path}`, { method: 'POST', body: 'x', headers });
       const told = await sent.catch(() => undefined);
       if (told) assert.deepEqual([told.status, told.outcome], [502, 'unknown']);
       assert.equal(entry.runsOf(path), 1);
@@ -48,7 +48,7 @@
     setTimeout(() => answer(req), 2);
   };
   for (let i = 0; i < 30; i += 1) {
-    assert.equal((await tell(`${entry.url}/check-${i}`)).text, `/check-${i}`);
+    assert.equal((await sendRequest(`${entry.url}/check-${i}`)).text, `/check-${i}`);
     await sleep(20);
   }
   await entry.stop();
@@ -64,10 +64,10 @@
     setTimeout(() => answer(req), req.path === '/late' ? 1_500 : 0);
   };
   const headers = { 'x-request-timeout-ms': '1000' };
-  const late = await tell(`${entry.url}/late`, { method: 'POST', body: 'x', headers });
+  const late = await sendRequest(`${entry.url}/late`, { method: 'POST', body: 'x', headers });
   const next = Array.from({ length: 40 }, async (_, i) => {
     await sleep(i * 25);
-    return (await tell(`${entry.url}/next-${i}`)).text === `/next-${i}`;
+    return (await sendRequest(`${entry.url}/next-${i}`)).text === `/next-${i}`;
   });
   const { code, outcome } = late;
   assert.deepEqual([code, outcome], [304, 'unknown']);
@@ -109,8 +109,8 @@
     '/head': '200 OK\r\ncontent-length: 9\r\n',
   };
   endpoint.behaviour = ({ path, socket }) => socket.write(`HTTP/1.1 ${lines[path]}\r\n`);
-  assert.equal((await tell(`${entry.url}/none`)).status, 204);
-  assert.equal((await tell(`${entry.url}/same`)).status, 304);
+  assert.equal((await sendRequest(`${entry.url}/none`)).status, 204);
+  assert.equal((await sendRequest(`${entry.url}/same`)).status, 304);
   const head = await fetch(`${entry.url}/head`, { method: 'HEAD' });
   assert.equal(head.headers.get('content-length'), '9');
   await entry.stop();
--- a/packages/daemon/src/test/entry-fixture.ts
+++ b/packages/daemon/src/test/entry-fixture.ts
@@ -86,7 +86,7 @@
       windowMs: WINDOW_MS,
     });
     home.open(knowsKeys ? 'nobody' : undefined);
-    const hop = {
+    const homeClient = {
       silent: () => true,
       runKeyed: () => Promise.reject(new Error('this node is the only one')),
     };
@@ -94,7 +94,7 @@
       metrics,
       dispatcher,
       events: this.events,
-      keyed: new KeyedRequests({ nodeId: 'n1', hosts: HOSTS, home, hop }),
+      keyed: new KeyedRequests({ nodeId: 'n1', hosts: HOSTS, home, homeClient }),
       manifest: () => manifest,
       drainIdleMs: DRAIN_IDLE_MS,
     });
@@ -147,7 +147,7 @@
   }
 }
 
-export interface Told {
+export interface ReceivedAnswer {
   readonly status: number;
   readonly code: number | undefined;
   readonly outcome: string | undefined;
@@ -156,7 +156,7 @@
 }
 
 /** Sends a request and reads its answer whole. @throws Error where the answer was cut. */
-export async function tell(url: string, init: RequestInit = {}): Promise<Told> {
+export async function sendRequest(url: string, init: RequestInit = {}): Promise<ReceivedAnswer> {
   const res = await fetch(url, init);
   const text = await res.text();
   const isProblem = res.headers.get('content-type') === 'application/problem+json';
--- a/packages/daemon/src/test/entry-framing_test.ts
+++ b/packages/daemon/src/test/entry-framing_test.ts
@@ -2,7 +2,7 @@
 import net from 'node:net';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { test } from 'node:test';
-import { EntryFixture, tell } from './entry-fixture.js';
+import { EntryFixture, sendRequest } from './entry-fixture.js';
 import { answer } from './raw-endpoint.js';
 
 const HEAD = 'POST /s/hold HTTP/1.1\r\nhost: x\r\n';
@@ -82,7 +82,7 @@
   idle.write(check);
   while (!text.endsWith('/check')) await sleep(5);
   text = '';
-  const running = tell(`${entry.url}/hold`, { method: 'POST', body: 'x' });
+  const running = sendRequest(`${entry.url}/hold`, { method: 'POST', body: 'x' });
   while (entry.runsOf('/hold') === 0) await sleep(5);
   const drained = entry.drain();
   await sleep(50);
--- a/packages/daemon/src/test/entry-sends_test.ts
+++ b/packages/daemon/src/test/entry-sends_test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { test } from 'node:test';
-import { EntryFixture, tell } from './entry-fixture.js';
+import { EntryFixture, sendRequest } from './entry-fixture.js';
 import type { Behaviour } from './raw-endpoint.js';
 import { answer } from './raw-endpoint.js';
 
@@ -21,10 +21,12 @@
   assert.ok(mute);
   mute.behaviour = silent;
   const patient = { headers: { 'x-request-timeout-ms': '10000' } };
-  const checks = Array.from({ length: 4 }, (_, i) => tell(`${entry.url}/check-${i}`, patient));
+  const checks = Array.from({ length: 4 }, (_, i) =>
+    sendRequest(`${entry.url}/check-${i}`, patient),
+  );
   assert.ok((await Promise.all(checks)).every(({ status }) => status === 200));
   for (let i = 0; i < 6; i += 1) {
-    const { status, outcome } = await tell(`${entry.url}/hold-${i}`, POST);
+    const { status, outcome } = await sendRequest(`${entry.url}/hold-${i}`, POST);
     assert.ok(status === 200 || (status === 504 && outcome === 'unknown'), `status ${status}`);
     assert.equal(entry.runsOf(`/hold-${i}`), 1);
   }
@@ -36,7 +38,7 @@
   const entry = await new EntryFixture().start(3);
   const reset: Behaviour = ({ socket }) => socket.resetAndDestroy();
   entry.endpoints.forEach((endpoint) => Object.assign(endpoint, { behaviour: reset }));
-  const { status, code, outcome } = await tell(`${entry.url}/hold`, POST);
+  const { status, code, outcome } = await sendRequest(`${entry.url}/hold`, POST);
   assert.deepEqual([status, code, outcome], [502, 305, 'unknown']);
   assert.equal(entry.runsOf('/hold'), 1);
   await entry.stop();
@@ -50,12 +52,12 @@
   assert.ok(first && second);
   first.behaviour = says503('x-not-run: true\r\n');
   second.behaviour = says503('x-not-run: true\r\n');
-  const refused = await tell(`${entry.url}/a`, POST);
+  const refused = await sendRequest(`${entry.url}/a`, POST);
   assert.deepEqual([refused.status, refused.outcome], [503, 'not-run']);
   assert.equal(entry.runsOf('/a'), 2);
   first.behaviour = says503('');
   second.behaviour = says503('');
-  assert.equal((await tell(`${entry.url}/b`, POST)).outcome, undefined);
+  assert.equal((await sendRequest(`${entry.url}/b`, POST)).outcome, undefined);
   assert.equal(entry.runsOf('/b'), 1);
   await entry.stop();
 });
@@ -63,7 +65,7 @@
 test('no endpoint that takes a connection: refused as not run, with when to come back', async () => {
   const entry = await new EntryFixture().start(2);
   entry.endpoints.forEach((endpoint) => endpoint.close());
-  const { status, outcome, headers } = await tell(`${entry.url}/hold`, POST);
+  const { status, outcome, headers } = await sendRequest(`${entry.url}/hold`, POST);
   assert.deepEqual([status, outcome], [503, 'not-run']);
   assert.ok(Number(headers.get('retry-after')) >= 1);
   await entry.stop();
@@ -72,8 +74,8 @@
 test('a refused request is found on the time line by its key or its trace', async () => {
   const entry = await new EntryFixture().start(0);
   const traceparent = '00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01';
-  await tell(`${entry.url}/hold`, { ...POST, headers: { 'idempotency-key': 'k-1' } });
-  await tell(`${entry.url}/check`, { headers: { traceparent } });
+  await sendRequest(`${entry.url}/hold`, { ...POST, headers: { 'idempotency-key': 'k-1' } });
+  await sendRequest(`${entry.url}/check`, { headers: { traceparent } });
   for (const request of ['k-1', '4bf92f3577b34da6a3ce929d0e0e4736']) {
     const found = entry.events.after('', 10, { request });
     assert.deepEqual(
@@ -93,11 +95,13 @@
   endpoint.behaviour = (req) => {
     setTimeout(() => answer(req), 100);
   };
-  await tell(`${entry.url}/first`);
+  await sendRequest(`${entry.url}/first`);
   const startedAt = performance.now();
   const headers = { 'x-request-timeout-ms': '5000' };
   const told = await Promise.all(
-    Array.from({ length: 40 }, (_, i) => tell(`${entry.url}/hold-${i}`, { ...POST, headers })),
+    Array.from({ length: 40 }, (_, i) =>
+      sendRequest(`${entry.url}/hold-${i}`, { ...POST, headers }),
+    ),
   );
   const elapsedMs = performance.now() - startedAt;
   for (const [i, { code, outcome, headers: got }] of told.entries()) {
@@ -123,14 +127,14 @@
   const [endpoint] = entry.endpoints;
   assert.ok(endpoint);
   endpoint.behaviour = (req) => (req.path === '/gone' ? undefined : answer(req));
-  await tell(`${entry.url}/hold`, POST);
+  await sendRequest(`${entry.url}/hold`, POST);
   const gone = new AbortController();
   const headers = { 'x-request-timeout-ms': '60000' };
-  const sent = tell(`${entry.url}/gone`, { ...POST, headers, signal: gone.signal });
+  const sent = sendRequest(`${entry.url}/gone`, { ...POST, headers, signal: gone.signal });
   while (entry.runsOf('/gone') === 0) await sleep(5);
   gone.abort();
   await assert.rejects(sent);
-  assert.equal((await tell(`${entry.url}/next`, POST)).status, 200);
+  assert.equal((await sendRequest(`${entry.url}/next`, POST)).status, 200);
   await entry.stop();
 });
 
@@ -140,7 +144,11 @@
   const slow: Behaviour = (req) => setTimeout(() => answer(req), 200);
   entry.endpoints.forEach((endpoint) => Object.assign(endpoint, { behaviour: slow }));
   const send = (body: string) =>
-    tell(`${entry.url}/hold`, { method: 'POST', body, headers: { 'idempotency-key': 'k1' } });
+    sendRequest(`${entry.url}/hold`, {
+      method: 'POST',
+      body,
+      headers: { 'idempotency-key': 'k1' },
+    });
   const together = await Promise.all([send('x'), send('x'), send('x')]);
   const after = await send('x');
   for (const { status, text } of [...together, after]) {
@@ -162,7 +170,7 @@
     setTimeout(() => answer(req), 2_500);
   };
   const send = (ms: number) =>
-    tell(`${entry.url}/hold`, {
+    sendRequest(`${entry.url}/hold`, {
       ...POST,
       headers: { 'idempotency-key': 'k1', 'x-request-timeout-ms': String(ms) },
     });
@@ -180,7 +188,7 @@
   for (const age of [undefined, '0', '5000']) {
     const headers: Record<string, string> = { 'idempotency-key': 'k1' };
     if (age !== undefined) Object.assign(headers, { 'x-idempotency-key-age-ms': age });
-    const told = await tell(`${entry.url}/hold`, { ...POST, headers });
+    const told = await sendRequest(`${entry.url}/hold`, { ...POST, headers });
     assert.deepEqual([told.code, told.outcome], [309, 'unknown']);
     assert.equal((JSON.parse(told.text) as { thisSend: string }).thisSend, 'not-run');
   }
--- a/packages/daemon/src/test/home-history_test.ts
+++ b/packages/daemon/src/test/home-history_test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import type { LogPage } from '@redwingcrank/protocol';
 import { PlatformLog } from '@redwingcrank/ports';
-import { recordHome } from '../internal/home-history.js';
+import { registerIncarnation } from '../internal/home-history.js';
 
 /** A log that already has records, and may have lost the oldest. */
 class ListLog extends PlatformLog {
@@ -32,13 +32,13 @@
 
 test('a process learns who had its name before', async () => {
   // Taking a memory for complete that lacks a process in between would run its keys again.
-  assert.deepEqual(await recordHome(new ListLog([]), 'n', 'c'), { type: 'nobody' });
+  assert.deepEqual(await registerIncarnation(new ListLog([]), 'n', 'c'), { type: 'nobody' });
   const known = { type: 'known', incarnation: 'b' };
-  assert.deepEqual(await recordHome(new ListLog(['a', 'b']), 'n', 'c'), known);
+  assert.deepEqual(await registerIncarnation(new ListLog(['a', 'b']), 'n', 'c'), known);
   // The append of `a` was cut off, repeated, and its first copy came when `b` had come and gone.
-  assert.deepEqual(await recordHome(new ListLog(['a', 'b', 'a']), 'n', 'c'), known);
+  assert.deepEqual(await registerIncarnation(new ListLog(['a', 'b', 'a']), 'n', 'c'), known);
   // Its own answer was lost, so its record is there twice.
-  assert.deepEqual(await recordHome(new ListLog(['a', 'b', 'c']), 'n', 'c'), known);
+  assert.deepEqual(await registerIncarnation(new ListLog(['a', 'b', 'c']), 'n', 'c'), known);
   // The oldest records expired: a predecessor may have run keys until a moment ago.
-  assert.deepEqual(await recordHome(new ListLog(['a'], 1), 'n', 'c'), { type: 'unknown' });
+  assert.deepEqual(await registerIncarnation(new ListLog(['a'], 1), 'n', 'c'), { type: 'unknown' });
 });
