--- a/packages/jobs/src/internal/capacity-hold.ts
+++ b/packages/jobs/src/internal/capacity-hold.ts
@@ -47,9 +47,10 @@
   }
 
   /**
-   * Holds capacity for the next step, on the worker with the most free processors. Returns whether
-   * a hold was started. `workersLackingCapacity` returns the workers that could take the step's
-   * tasks if they had the capacity.
+   * Holds capacity for the next step, on the worker with the most free processors that can take its
+   * task once only long-running tasks are left there. Returns whether a hold was started.
+   * `workersLackingCapacity` returns the workers that could take the step's tasks if they had the
+   * capacity.
    */
   start(
     workersLackingCapacity: (step: WaitingStep) => readonly WorkerState[],
--- a/packages/jobs/src/internal/placement.ts
+++ b/packages/jobs/src/internal/placement.ts
@@ -118,29 +118,29 @@
       const score = this.#bestEffortScore(spec, worker, nowMs);
       return typeof score === 'number' ? rackBonus + score : score;
     }
-    const free = worker.entry.capacity.cpuMilli - worker.cpuMilli;
-    if (spec.targetMs > 0) return rackBonus + free / 2 + colocationScore(spec, worker);
-    return rackBonus + free - worker.bestEffortMilli / 4;
+    const freeMilli = worker.entry.capacity.cpuMilli - worker.cpuMilli;
+    if (spec.targetMs > 0) return rackBonus + freeMilli / 2 + colocationScore(spec, worker);
+    return rackBonus + freeMilli - worker.bestEffortMilli / 4;
   }
 
   protected starvedScore(spec: StepSpec, worker: WorkerState, nowMs: number): number | Obstacle {
     const score = this.score(spec, worker, nowMs);
     if (typeof score === 'number' || score === 'harmed') return score;
-    const share = this.#headroom.speedWith(spec, worker, nowMs);
+    const speed = this.#headroom.speedWith(spec, worker, nowMs);
     // Lower than the score of every worker on which the task could run at full speed.
-    return share < MIN_STARVED_SPEED ? score : (share - 2) * STARVED_COST;
+    return speed < MIN_STARVED_SPEED ? score : (speed - 2) * STARVED_COST;
   }
 
   #bestEffortScore(spec: StepSpec, worker: WorkerState, nowMs: number): number | Obstacle {
     if (worker.missesTarget()) return 'harmed';
     const { cpuMilli } = worker.entry.capacity;
     const used = worker.cpuMilli - worker.servingMilli * (1 - SERVING_UTILISATION);
-    const left = cpuMilli - used - worker.bestEffortMilli;
-    if (left < spec.cpuMilli) return 'processors';
+    const leftMilli = cpuMilli - used - worker.bestEffortMilli;
+    if (leftMilli < spec.cpuMilli) return 'processors';
     const headroom = this.#headroom.headroomWith(spec, worker, nowMs);
     if (headroom < 0) return 'slack';
     // One unit of headroom is worth as much as a whole empty worker; more headroom adds nothing.
-    return left + Math.min(1, headroom) * cpuMilli;
+    return leftMilli + Math.min(1, headroom) * cpuMilli;
   }
 }
 
--- a/packages/jobs/src/internal/report-reader.ts
+++ b/packages/jobs/src/internal/report-reader.ts
@@ -112,17 +112,17 @@
     if (row.how === 'failed') worker.health.ended(false, nowMs);
     const job = this.#state.jobs.get(ref.jobId);
     const task = job && findTask(job, ref);
-    const isBinding =
+    const isBoundRun =
       task?.phase === 'bound' && task.run === row.run && task.worker === worker.entry.id;
     this.#state.logEvent('run-ended', {
       task: row.task,
       run: row.run,
       worker: worker.entry.id,
       how: row.how,
-      current: isBinding,
+      current: isBoundRun,
     });
     if (!job || !task) return;
-    if (isBinding) this.#taskEnded(job, ref, task, row);
+    if (isBoundRun) this.#taskEnded(job, ref, task, row);
     else if (row.how === 'done') this.#completeLate(job, ref, task);
   }
 
--- a/packages/jobs/src/internal/stop-rules.ts
+++ b/packages/jobs/src/internal/stop-rules.ts
@@ -30,8 +30,8 @@
     const task = findTask(job, run.ref);
     if (!task) return 'unknown-job';
     if (run.stopReason) return run.stopReason;
-    const isBinding = task.run === run.run && task.worker === worker.entry.id;
-    if (!isBinding || task.phase === 'waiting') return 'superseded';
+    const isBoundRun = task.run === run.run && task.worker === worker.entry.id;
+    if (!isBoundRun || task.phase === 'waiting') return 'superseded';
     // An earlier run of the task has succeeded.
     if (task.phase === 'done' && !run.spec.gang) return 'superseded';
     // The other members of a gang end by themselves when one has succeeded.
--- a/packages/jobs/src/internal/urgency.ts
+++ b/packages/jobs/src/internal/urgency.ts
@@ -37,10 +37,7 @@
   return stretch * Math.max(0, ...criticalPathsMs(spec)) + targetLatencyMs;
 }
 
-/**
- * Returns how useful work on a job still is that has yet to run a step and all steps that depend on
- * it.
- */
+/** Returns the feasibility of a job that has yet to run a step and all steps that depend on it. */
 export function feasibilityOf(
   spec: JobSpec,
   queue: QueuePolicy,
--- a/packages/jobs/src/internal/worker-health.ts
+++ b/packages/jobs/src/internal/worker-health.ts
@@ -29,8 +29,8 @@
   }
 
   /**
-   * Records that a run here made no progress for too long. This counts as much as all consecutive
-   * failures.
+   * Records that a run here made no progress for too long. This counts as many failures as it takes
+   * to suspect the worker.
    */
   stalled(nowMs: number): void {
     this.#failuresInRow = SUSPICIOUS_FAILURES;
--- a/packages/jobs/src/internal/worker-state.ts
+++ b/packages/jobs/src/internal/worker-state.ts
@@ -52,7 +52,7 @@
 
   answeredMs = -Infinity;
 
-  /** The earliest time at which a draining worker may leave. */
+  /** The earliest time at which a draining worker may leave; Infinity before it drains. */
   leavesMs = Infinity;
 
   /**
--- a/packages/jobs/src/scheduler.ts
+++ b/packages/jobs/src/scheduler.ts
@@ -278,8 +278,8 @@
   }
 
   /**
-   * Records that the changes are stored because of which the workers may forget their ends up to
-   * the given numbers.
+   * Records that workers may forget their ends up to the given numbers, because the changes that
+   * follow from these are stored.
    */
   acknowledge(acks: ReadonlyMap<string, number>): void {
     for (const [id, number] of acks) {
--- a/packages/jobs/src/test/halted-runs_test.ts
+++ b/packages/jobs/src/test/halted-runs_test.ts
@@ -14,7 +14,7 @@
 const BEST_EFFORT = stepSpec({ fills: true, image: 'crunch' });
 
 /** Runs the only task of a job beside a serving task that misses its target from now on. */
-function bestEffortBesideMissedTarget(): {
+function startBesideMissedTarget(): {
   harness: SchedulerHarness;
   web: Order;
   bestEffort: Order;
@@ -33,7 +33,7 @@
   harness,
   web,
   bestEffort,
-}: ReturnType<typeof bestEffortBesideMissedTarget>): Order[] {
+}: ReturnType<typeof startBesideMissedTarget>): Order[] {
   const stops: Order[] = [];
   for (let report = 0; report < 10; report += 1) {
     harness.nowMs += 500;
@@ -53,7 +53,7 @@
 test('the only running task of a job is moved to another worker when it is halted', () => {
   // Guards against counting a job as running while its only task has been halted for half a minute
   // and other workers have capacity.
-  const scene = bestEffortBesideMissedTarget();
+  const scene = startBesideMissedTarget();
   scene.harness.scheduler.listWorker(workerEntry('w2'), scene.harness.nowMs);
   scene.harness.report('w2');
   const [stop] = stopsInFiveSeconds(scene);
@@ -70,5 +70,5 @@
 
 test('a halted task is not stopped if it fits on no other worker', () => {
   // Guards against losing work by a stop that helps nobody.
-  assert.deepEqual(stopsInFiveSeconds(bestEffortBesideMissedTarget()), []);
+  assert.deepEqual(stopsInFiveSeconds(startBesideMissedTarget()), []);
 });
--- a/packages/jobs/src/test/pacing_test.ts
+++ b/packages/jobs/src/test/pacing_test.ts
@@ -55,8 +55,8 @@
     harness.model.interference.learn({ image: 'web', slack: i % 2 ? 1 / 3 : 2, parts });
   }
   harness.submit(jobSpec([SERVING], { id: '00000000000000a1' }));
-  const fill = stepSpec({ fills: true, image: 'loud', cpuMilli: 200 });
-  harness.submit(jobSpec([fill, { ...fill, image: 'quiet' }], { id: '00000000000000a2' }));
+  const loudStep = stepSpec({ fills: true, image: 'loud', cpuMilli: 200 });
+  harness.submit(jobSpec([loudStep, { ...loudStep, image: 'quiet' }], { id: '00000000000000a2' }));
   const [web, loud, quiet] = harness.starts();
   assert.ok(web && loud && quiet);
   for (const start of [web, loud, quiet]) harness.answer(start, 'done');
--- a/packages/jobs/src/test/starved-jobs_test.ts
+++ b/packages/jobs/src/test/starved-jobs_test.ts
@@ -71,7 +71,7 @@
 /**
  * Returns the jobs that start beside a serving task whose slack is little more than pacing keeps.
  */
-function startedBesideLittleSlack(acceptedMs: number): string[] {
+function startedBesideLittleSlack(ageMs: number): string[] {
   const harness = new SchedulerHarness([workerEntry('w1')]);
   for (let i = 0; i < 200; i += 1) {
     const part = i % 2 ? 0.1 : 0;
@@ -87,7 +87,7 @@
     const running = [runningRow(web!, { percent: 100, measure: 20 / 1.6 })];
     harness.report('w1', { running });
   }
-  harness.submit(jobSpec([BEST_EFFORT], { id: 'job', acceptedMs: harness.nowMs - acceptedMs }));
+  harness.submit(jobSpec([BEST_EFFORT], { id: 'job', acceptedMs: harness.nowMs - ageMs }));
   return harness.starts().map(({ task }) => task.jobId);
 }
 
