--- a/packages/jobs/src/internal/capacity-hold.ts
+++ b/packages/jobs/src/internal/capacity-hold.ts
@@ -7,7 +7,7 @@
  * The longest time for which capacity is held for one task, in milliseconds: tasks usually end
  * within seconds.
  */
-const MAX_HOLD_MS = 10_000;
+const HOLD_TIMEOUT_MS = 10_000;
 
 interface ActiveHold {
   readonly step: WaitingStep;
@@ -81,7 +81,7 @@
 }
 
 function isHoldValid({ step, worker, sinceMs }: ActiveHold, nowMs: number): boolean {
-  if (nowMs - sinceMs > MAX_HOLD_MS) return false;
+  if (nowMs - sinceMs > HOLD_TIMEOUT_MS) return false;
   return worker.listed && !worker.entry.draining && isIdle(step);
 }
 
--- a/packages/jobs/src/test/leaving-workers_test.ts
+++ b/packages/jobs/src/test/leaving-workers_test.ts
@@ -10,14 +10,14 @@
   workerEntry,
 } from './scheduler-harness.js';
 
-const LONG_RUNNING = stepSpec({ lasting: true });
+const LONG_RUNNING_STEP = stepSpec({ lasting: true });
 
 function oneLongRunningTask(): {
   harness: SchedulerHarness;
   start: ReturnType<SchedulerHarness['starts']>[0];
 } {
   const harness = new SchedulerHarness([workerEntry('w1')]);
-  harness.submit(jobSpec([LONG_RUNNING]));
+  harness.submit(jobSpec([LONG_RUNNING_STEP]));
   const [start] = harness.starts();
   assert.ok(start);
   harness.answer(start, 'done');
@@ -47,7 +47,7 @@
   // The next report of the worker may come two seconds after the start. If the scheduler waited for
   // it before it stops the task, the task would stay until the worker has ended.
   const harness = new SchedulerHarness([workerEntry('w1')]);
-  harness.submit(jobSpec([LONG_RUNNING]));
+  harness.submit(jobSpec([LONG_RUNNING_STEP]));
   const [start] = harness.starts();
   harness.answer(start!, 'done');
   const entry = workerEntry('w1', { draining: true, remainingMs: 2_000 });
