--- a/packages/ports/src/host-list-source.ts
+++ b/packages/ports/src/host-list-source.ts
@@ -1,7 +1,7 @@
 import type { HostList } from '@redwingcrank/protocol';
 
-/** The platform's list of live and leaving hosts, which lags. */
+/** The platform's list of live and leaving hosts, which lags behind their actual state. */
 export abstract class HostListSource {
-  /** @throws PlatformError (402) where the list cannot be had. */
+  /** @throws PlatformError (402) if the list cannot be fetched. */
   abstract list(): Promise<HostList>;
 }
--- a/packages/ports/src/internal/http-host-list-source.ts
+++ b/packages/ports/src/internal/http-host-list-source.ts
@@ -3,7 +3,7 @@
 import { HostListSource } from '../host-list-source.js';
 import { callJson } from './json-call.js';
 
-/** The host list over HTTP. */
+/** Fetches the host list over HTTP. */
 export class HttpHostListSource extends HostListSource {
   readonly #url: string;
 
--- a/packages/ports/src/internal/http-platform-log.ts
+++ b/packages/ports/src/internal/http-platform-log.ts
@@ -3,13 +3,13 @@
 import { LOG_PAGE_LIMIT, PlatformLog } from '../platform-log.js';
 import { callJson } from './json-call.js';
 
-/** The log over HTTP. */
+/** A client of the platform's log over HTTP. */
 export class HttpPlatformLog extends PlatformLog {
   readonly #baseUrl: string;
 
   readonly #timeoutMs: number;
 
-  /** @param timeoutMs - How long an answer may take beyond the wait that was asked for. */
+  /** @param timeoutMs - The maximum time for an answer, in addition to the `waitMs` of a read. */
   constructor(baseUrl: string, timeoutMs: number) {
     super();
     this.#baseUrl = baseUrl;
--- a/packages/ports/src/internal/http-worker-client.ts
+++ b/packages/ports/src/internal/http-worker-client.ts
@@ -10,7 +10,7 @@
 import { WorkerClient } from '../worker-client.js';
 import { callJson } from './json-call.js';
 
-/** Workers over HTTP. */
+/** A client of the workers over HTTP. */
 export class HttpWorkerClient extends WorkerClient {
   readonly #timeoutMs: number;
 
--- a/packages/ports/src/internal/json-listener.ts
+++ b/packages/ports/src/internal/json-listener.ts
@@ -7,11 +7,11 @@
   readonly method: string;
   readonly url: URL;
   readonly headers: http.IncomingHttpHeaders;
-  /** The parsed body, or undefined where there was none. */
+  /** The parsed body; undefined if the body is empty. */
   readonly body: unknown;
 }
 
-/** An answer: `body` is sent as JSON, or as it is where it is a string. */
+/** An answer. A `body` that is a string is sent unchanged; any other `body` is sent as JSON. */
 export interface JsonAnswer {
   readonly status: number;
   readonly body: unknown;
@@ -22,9 +22,9 @@
 export type JsonHandler = (req: JsonRequest) => Promise<JsonAnswer> | JsonAnswer;
 
 /**
- * What a sender may take of a listener: the time for its headers and for the whole request, and the
- * size of its headers. Without them a few slow senders would hold every connection. Node looks at
- * the times only once in `connectionsCheckingInterval`, by default every 30 s.
+ * The limits of a listener on the time for the headers, the time for the complete request and the
+ * size of the headers. Without them a few slow senders could occupy every connection. Node checks
+ * the times only once per `connectionsCheckingInterval`, which is 30 s by default.
  */
 export const LISTENER_LIMITS = {
   headersTimeout: 5_000,
@@ -33,12 +33,12 @@
   maxHeaderSize: 16 * 1024,
 } as const;
 
-/** Targets of requests are paths. */
-const BASE = 'http://listener';
+/** The base for parsing request targets, which are paths without a host. */
+const BASE_URL = 'http://listener';
 
 /**
- * A small listener for JSON over HTTP, bounded in body size and in the time that a slow sender
- * may hold a connection.
+ * An HTTP listener for JSON that limits the body size and the time for which a slow sender can
+ * occupy a connection.
  *
  * Lifecycle: `listen`, then `close`.
  */
@@ -48,13 +48,14 @@
   readonly #maxBodyBytes: number;
 
   /**
-   * @param handler - Answers each request; what it throws becomes a 500.
-   * @param maxBodyBytes - A larger body is refused with 413.
+   * @param handler - Answers each request. A CodedError that it throws is sent with the status of its
+   *   code if it has one; any other error is sent as 500.
+   * @param maxBodyBytes - The maximum body size. A larger body is rejected with 413.
    */
   constructor(handler: JsonHandler, maxBodyBytes: number) {
     this.#maxBodyBytes = maxBodyBytes;
     this.#server = http.createServer(LISTENER_LIMITS, (req, res) => {
-      this.#serve(handler, req, res).catch((err: unknown) => fail(res, err));
+      this.#serve(handler, req, res).catch((err: unknown) => sendError(res, err));
     });
   }
 
@@ -82,16 +83,18 @@
   ): Promise<void> {
     const text = await this.#readBody(req);
     if (text === undefined) {
-      // The rest of an oversized body is not read: the connection cannot be used again.
-      const { status, body } = problem('requestTooLarge', `over ${this.#maxBodyBytes} bytes`);
+      // The rest of an oversized body is not read, so the connection cannot be reused.
+      const { status, body } = errorAnswer('requestTooLarge', `over ${this.#maxBodyBytes} bytes`);
       send(res, { status, body, headers: { connection: 'close' } });
       return;
     }
-    const url = URL.canParse(req.url ?? '/', BASE) ? new URL(req.url ?? '/', BASE) : undefined;
+    const url = URL.canParse(req.url ?? '/', BASE_URL)
+      ? new URL(req.url ?? '/', BASE_URL)
+      : undefined;
     const body = parseBody(text);
     if (!url || !body) {
-      const what = url ? 'the body is not JSON' : 'the target is not a URL';
-      send(res, problem('badAdminRequest', what));
+      const detail = url ? 'the body is not JSON' : 'the target is not a URL';
+      send(res, errorAnswer('badAdminRequest', detail));
       return;
     }
     send(res, await handler({ method: req.method ?? 'GET', url, headers: req.headers, ...body }));
@@ -110,13 +113,13 @@
 }
 
 function send(res: http.ServerResponse, answer: JsonAnswer): void {
-  const plain = typeof answer.body === 'string';
-  const contentType = answer.contentType ?? (plain ? 'text/plain' : 'application/json');
+  const isText = typeof answer.body === 'string';
+  const contentType = answer.contentType ?? (isText ? 'text/plain' : 'application/json');
   res.writeHead(answer.status, { 'content-type': contentType, ...answer.headers });
-  res.end(plain ? answer.body : JSON.stringify(answer.body));
+  res.end(isText ? answer.body : JSON.stringify(answer.body));
 }
 
-function problem(key: ResultCodeKey, detail: string): JsonAnswer {
+function errorAnswer(key: ResultCodeKey, detail: string): JsonAnswer {
   const { result } = new CodedError(key, detail);
   const { code, name, status } = result;
   return { status, body: { code, name, detail } };
@@ -130,7 +133,7 @@
   }
 }
 
-function fail(res: http.ServerResponse, err: unknown): void {
+function sendError(res: http.ServerResponse, err: unknown): void {
   if (res.headersSent) {
     res.destroy();
     return;
--- a/packages/ports/src/internal/shared-key.ts
+++ b/packages/ports/src/internal/shared-key.ts
@@ -7,9 +7,9 @@
 }
 
 /**
- * Shared keys of one group of users, newest first. The first is sent and all are accepted, so that
- * a key is rotated without a gap: add the new one last everywhere, then move it to the front
- * everywhere, then take the old one away.
+ * The shared keys of one group of users. The first key is sent and all keys are accepted, so a key
+ * can be rotated without downtime: append the new key on all processes, then move it to the front on
+ * all processes, then remove the old key.
  *
  * @example
  * const keys = new SharedKeys(['new-key-of-this-week', 'old-key-of-last-week']);
@@ -20,27 +20,27 @@
 
   readonly #digests: readonly Buffer[];
 
-  /** @param keys - None for a group that needs no key. */
+  /** @param keys - The accepted keys; empty for a group that needs no key. */
   constructor(keys: readonly string[]) {
     [this.#first] = keys;
     this.#digests = keys.map(digest);
   }
 
-  /** The headers that carry the key; empty where there is none. */
+  /** Returns the headers that carry the first key; empty without keys. */
   headers(): Record<string, string> {
     return this.#first === undefined ? {} : { authorization: SCHEME + this.#first };
   }
 
   /**
-   * Whether an `authorization` header carries an accepted key. A comparison that ends at the first
-   * wrong byte would let a caller find the key byte by byte from the time of the refusals; digests
-   * have one length, and every key is compared to its end.
+   * Returns whether an `authorization` header carries an accepted key. A comparison that ends at the
+   * first wrong byte would let a caller find the key byte by byte from the time of the refusals.
+   * Digests have equal lengths, and the digest of every key is compared in constant time.
    */
   accepts(authorization: string | undefined): boolean {
     if (this.#digests.length === 0) return true;
-    const sent = authorization?.startsWith(SCHEME) ? authorization.slice(SCHEME.length) : '';
-    const given = digest(sent);
-    const matches = this.#digests.map((known) => timingSafeEqual(known, given));
+    const sentKey = authorization?.startsWith(SCHEME) ? authorization.slice(SCHEME.length) : '';
+    const sentDigest = digest(sentKey);
+    const matches = this.#digests.map((accepted) => timingSafeEqual(accepted, sentDigest));
     return matches.includes(true);
   }
 }
--- a/packages/ports/src/test/json-call_test.ts
+++ b/packages/ports/src/test/json-call_test.ts
@@ -6,14 +6,14 @@
 import { PlatformError } from '@redwingcrank/protocol';
 import { callJson } from '../index.js';
 
-/** Answers the first request of each connection, and resets the connection at the second. */
-const seen = new WeakSet<Socket>();
+/** Answers the first request on each connection and resets the connection on the second. */
+const answeredConnections = new WeakSet<Socket>();
 const server = http.createServer((req, res) => {
-  if (seen.has(req.socket)) {
+  if (answeredConnections.has(req.socket)) {
     req.socket.resetAndDestroy();
     return;
   }
-  seen.add(req.socket);
+  answeredConnections.add(req.socket);
   res.end('{}');
 });
 
@@ -31,9 +31,9 @@
   return callJson({ url, method, timeoutMs: 5_000, schema: z.object({}), failure: 'notFound' });
 }
 
-test('a read on a kept connection that was reset is asked again; an append is not', async () => {
-  // A node is replaced under the same address. The next call goes out on the connection to the
-  // old one and is reset. A read can be repeated; an append may already have taken effect.
+test('a GET on a kept-alive connection that is reset is retried; a POST is not', async () => {
+  // When a node is replaced under the same address, the next call reuses the connection to the old
+  // node and is reset. A read can be retried, but an append may already have taken effect.
   await call('GET');
   assert.deepEqual(await call('GET'), {});
   await assert.rejects(call('POST'), PlatformError);
--- a/packages/protocol/src/admin-messages.ts
+++ b/packages/protocol/src/admin-messages.ts
@@ -5,10 +5,10 @@
 
 /**
  * The answers of the read-only administration API of a node. docs/openapi.json is generated from
- * these schemas, and the command line checks what it reads against them.
+ * these schemas, and the command line validates the answers of nodes against them.
  */
 
-/** Why a manifest on the log did not come into force. */
+/** The reason why a manifest on the log did not come into force. */
 export const rejectionViewSchema = z.object({
   offset: z.int(),
   id: z.string(),
@@ -16,7 +16,7 @@
   detail: z.string(),
 });
 
-/** A task that has no place; `reason` is `never-fits`, `no-room` or one that a policy adds. */
+/** An unplaced task; `reason` is `never-fits`, `no-room` or a reason that a policy adds. */
 export const unplacedViewSchema = z.looseObject({ taskId: z.string(), reason: z.string() });
 
 export const statusViewSchema = z.object({
@@ -24,18 +24,18 @@
   dataCentre: z.string(),
   roles: z.array(z.string()),
   state: z.string(),
-  /** Version of the program. */
+  /** The version of the program. */
   release: z.string(),
   manifestVersion: z.int(),
-  /** Whether the manifest in force was read from the log, or is a peer's word until then. */
+  /** Where the manifest in force came from: the log or, until the log has been read, a peer. */
   manifestSource: z.enum(['none', 'log', 'peer']),
   term: z.int(),
   holder: z.string().optional(),
-  /** The last offset of the control stream that was folded; -1 before the first. */
+  /** The offset of the last folded record of the control stream; -1 before the first. */
   controlOffset: z.int(),
   peers: z.array(z.string()),
   rejections: z.array(rejectionViewSchema),
-  /** The first of the tasks that have no place; only the node that holds the data centre knows. */
+  /** The first of the unplaced tasks; known only to the node that holds the data centre. */
   unplaced: z.array(unplacedViewSchema),
   unplacedCount: z.int(),
 });
@@ -64,7 +64,7 @@
   failures: z.int(),
 });
 
-/** A job with its tasks counted by what has become of them. */
+/** A job with the number of its tasks in each state. */
 export const jobViewSchema = z.object({
   name: z.string(),
   team: z.string(),
@@ -76,11 +76,11 @@
   waiting: z.int(),
   active: z.int(),
   completed: z.int(),
-  /** Tasks that have used all their attempts. */
+  /** The number of tasks that have used all their attempts. */
   exhausted: z.int(),
 });
 
-/** A team with its quota and what its tasks hold in this data centre. */
+/** A team with its quota and the resources committed to its tasks in this data centre. */
 export const teamViewSchema = z.object({
   name: z.string(),
   weight: z.number(),
@@ -91,11 +91,11 @@
 
 export const whyReasonSchema = z.object({ reason: z.string(), detail: z.string() });
 
-/** Every reason why a task runs where it does or does not run, as one node knows them. */
+/** The reasons known to one node why a task runs on its host, or why it does not run. */
 export const whyViewSchema = z.object({
   taskId: z.string(),
   nodeId: z.string(),
-  /** Whether this node holds the task's data centre: only then it knows why a task waits. */
+  /** Whether this node holds the data centre; only its holder knows why a task waits. */
   holds: z.boolean(),
   state: z.string(),
   task: taskViewSchema.optional(),
@@ -103,7 +103,7 @@
   history: z.array(timelineEventSchema),
 });
 
-/** `next` is the cursor of the next page, or null on the last one. */
+/** The cursor of the next page; null on the last page. */
 const next = z.string().nullable();
 
 export const hostPageSchema = z.object({ hosts: z.array(hostViewSchema), next });
@@ -113,7 +113,7 @@
 export const eventPageSchema = z.object({ events: z.array(timelineEventSchema), next });
 export const manifestViewSchema = z.object({ manifest: manifestSchema.nullable() });
 
-/** A refusal of the administration API. */
+/** The body of an error answer of the administration API. */
 export const adminProblemSchema = z.object({
   code: z.int(),
   name: z.string(),
@@ -128,24 +128,27 @@
 export type WhyView = z.infer<typeof whyViewSchema>;
 export type WhyReason = z.infer<typeof whyReasonSchema>;
 
-/** The bounds of a page of the administration API. */
+/** The default number of items on a page of the administration API. */
 export const DEFAULT_PAGE_LIMIT = 500;
+
+/** The maximum number of items on a page of the administration API. */
 export const MAX_PAGE_LIMIT = 5_000;
 
-/** One path of the administration API: what it takes in the query and what it answers. */
+/** One path of the administration API, with its query parameters and the schema of its answer. */
 export interface AdminRoute {
   readonly path: string;
   readonly summary: string;
+  /** The descriptions of the query parameters by name. */
   readonly query: Readonly<Record<string, string>>;
   readonly answer: z.ZodType;
 }
 
-const PAGE = {
-  limit: `Items on a page, 1 to ${MAX_PAGE_LIMIT}; ${DEFAULT_PAGE_LIMIT} where it is left out`,
-  cursor: 'The `next` of the page before',
+const PAGE_QUERY = {
+  limit: `Items on a page, 1 to ${MAX_PAGE_LIMIT}; ${DEFAULT_PAGE_LIMIT} by default`,
+  cursor: 'The `next` of the previous page',
 };
 
-/** Every path that answers JSON. */
+/** All paths that answer with JSON. */
 export const ADMIN_ROUTES = {
   status: {
     path: '/v1/status',
@@ -162,25 +165,29 @@
   hosts: {
     path: '/v1/hosts',
     summary: 'The hosts of this data centre',
-    query: PAGE,
+    query: PAGE_QUERY,
     answer: hostPageSchema,
   },
   tasks: {
     path: '/v1/tasks',
     summary: 'The tasks of this data centre, by identity',
-    query: { ...PAGE, owner: 'Only tasks of this service or job', host: 'Only tasks on this host' },
+    query: {
+      ...PAGE_QUERY,
+      owner: 'Only tasks of this service or job',
+      host: 'Only tasks on this host',
+    },
     answer: taskPageSchema,
   },
   jobs: {
     path: '/v1/jobs',
     summary: 'The jobs of this data centre',
-    query: PAGE,
+    query: PAGE_QUERY,
     answer: jobPageSchema,
   },
   teams: {
     path: '/v1/teams',
-    summary: 'The teams, with what they hold in this data centre',
-    query: PAGE,
+    summary: 'The teams, with the resources committed to them in this data centre',
+    query: PAGE_QUERY,
     answer: teamPageSchema,
   },
   why: {
@@ -193,8 +200,8 @@
     path: '/v1/events',
     summary: 'The newest events of this node, oldest first',
     query: {
-      limit: PAGE.limit,
-      after: 'Only events with a later stamp: the `next` of the page before',
+      limit: PAGE_QUERY.limit,
+      after: 'Only events with a later stamp: the `next` of the previous page',
       task: 'Only events of this task',
       request: 'Only events of this request',
       host: 'Only events of this host',
--- a/packages/protocol/src/control-record.ts
+++ b/packages/protocol/src/control-record.ts
@@ -2,14 +2,14 @@
 import { ON_OUTAGE } from './manifest.js';
 import { resourcesSchema } from './resources.js';
 
-/** How an attempt came to its end. Only `completed` ends the task as well. */
+/** How an attempt ended. Only `completed` ends the task as well. */
 export const ATTEMPT_OUTCOMES = ['completed', 'failed', 'stopped', 'lapsed'] as const;
 
 export type AttemptOutcome = (typeof ATTEMPT_OUTCOMES)[number];
 
 /**
- * What shows that an attempt is over: the worker's own word, or a lease that has surely lapsed
- * because nobody is left who could renew it, after the attempt was revoked.
+ * The proofs that an attempt has ended. `worker`: the worker reported the end. `lease`: after the
+ * attempt was revoked, its lease expired and no node that could renew it is left.
  */
 export const END_PROOFS = ['worker', 'lease'] as const;
 
@@ -31,23 +31,24 @@
   owner: z.string().max(100),
   hostId: z.string().max(100),
   resources: resourcesSchema,
-  /** The checkpoint this attempt resumes from; absent where it starts afresh. */
+  /** The checkpoint from which the attempt resumes; absent if it starts from the beginning. */
   checkpoint: z.string().max(200).optional(),
   /**
-   * Fixed for the attempt: were it looked up in the manifest, two nodes with two manifests could
-   * disagree on whether renewals stop. Absent: `keep` for a service, `checkpoint` for a job.
+   * Fixed for the attempt, because two nodes with different manifests could disagree on whether
+   * renewals stop if each took it from its manifest. Defaults to `keep` for a service and to
+   * `checkpoint` for a job.
    */
   onOutage: z.enum(ON_OUTAGE).optional(),
 });
 
-/** Which incarnation of a host's worker was seen: attempts bound next start only there. */
+/** Records the incarnation of a host's worker. Attempts bound later start only on it. */
 const workerActionSchema = z.strictObject({
   type: z.literal('worker'),
   hostId: z.string().max(100),
   incarnation: z.string().max(100),
 });
 
-/** Ends the membership of a node that was silent for long; it may join again. */
+/** Ends the membership of a node that has been silent for a long time. It may join again. */
 const leaveActionSchema = z.strictObject({
   type: z.literal('leave'),
   nodeId: z.string().max(100),
@@ -57,9 +58,9 @@
 const runningActionSchema = z.strictObject({
   type: z.literal('running'),
   ...attemptRef,
-  /** Where a service's endpoint listens, as `ip:port`. */
+  /** The address of a service's endpoint as `ip:port`. */
   endpoint: z.string().max(200).optional(),
-  /** The newest checkpoint, so that it is known also when the worker is lost. */
+  /** The newest checkpoint, recorded so that it remains known if the worker is lost. */
   checkpoint: z.string().max(200).optional(),
 });
 
@@ -75,7 +76,7 @@
   outcome: z.enum(ATTEMPT_OUTCOMES),
   proof: z.enum(END_PROOFS),
   checkpoint: z.string().max(200).optional(),
-  /** Work since that checkpoint, in milliseconds, where the worker could tell. */
+  /** Work since that checkpoint in milliseconds; absent if the worker did not report it. */
   lostMs: z.number().min(0).optional(),
 });
 
@@ -98,7 +99,7 @@
 export type RevokeAction = z.infer<typeof revokeActionSchema>;
 export type EndedAction = z.infer<typeof endedActionSchema>;
 
-/** Claims the data centre: the first claim of a term in log order holds it. */
+/** Claims the data centre for a term. The first claim of a term in log order wins. */
 const claimRecordSchema = z.strictObject({
   type: z.literal('claim'),
   id: z.string().max(100),
@@ -106,24 +107,24 @@
   holder: z.string().max(100),
 });
 
-/** Several decisions in one append: the log takes only some hundred appends a second. */
+/** Several decisions in one append, because the log accepts only some hundred appends a second. */
 const batchRecordSchema = z.strictObject({
   type: z.literal('batch'),
   id: z.string().max(100),
   term: z.int().min(1),
   holder: z.string().max(100),
   /**
-   * The offset of the last batch that the writer had folded. Where another took effect since,
-   * this one is void: an append that was given up can reach the log late, and must not undo
-   * what was decided after it.
+   * The offset of the last batch that the writer had folded. If another batch has taken effect
+   * since, the fold rejects this one: an abandoned append can reach the log late and must not undo
+   * later decisions.
    */
   base: z.int().min(-1).optional(),
   actions: z.array(controlActionSchema).max(20_000),
 });
 
 /**
- * A scheduler node's entry among those that may act on workers. It acts only once it has folded
- * its own record, so whoever has folded the stream knows every node that may act.
+ * Adds a scheduler node to the members, which may act on workers. A node acts only after it has
+ * folded its own join record, so a reader that has folded the stream knows every node that may act.
  */
 const joinRecordSchema = z.strictObject({
   type: z.literal('join'),
@@ -146,12 +147,12 @@
 /** The stream on which operators publish manifests. */
 export const MANIFEST_STREAM = 'manifest';
 
-/** The stream that holds the decisions of one data centre. */
+/** Returns the name of the stream that holds the decisions of one data centre. */
 export function controlStream(dataCentre: string): string {
   return `control-${dataCentre}`;
 }
 
-/** A manifest as it stands on the log; `id` lets a repeated append be recognized. */
+/** A manifest as a record on the log. Readers recognize a repeated append by its `id`. */
 export const manifestRecordSchema = z.object({
   type: z.literal('manifest'),
   id: z.string().max(100),
--- a/packages/protocol/src/control-snapshot.ts
+++ b/packages/protocol/src/control-snapshot.ts
@@ -1,6 +1,7 @@
 import { z } from 'zod';
 
-// Loose: a field that a later version adds to a host or a task outlives an older reader's check.
+// The objects are loose so that an older reader keeps fields that a later version adds to a host
+// or a task.
 const hostSnapshotSchema = z.looseObject({
   hostId: z.string(),
   committed: z.looseObject({}),
@@ -14,7 +15,7 @@
   hostId: z.string(),
 });
 
-/** The whole state of a control fold as plain data, as of `offset`. */
+/** The complete state of a control fold as plain data, as of `offset`. */
 export const controlSnapshotSchema = z.object({
   offset: z.int().min(-1),
   term: z.int().min(0),
@@ -23,7 +24,7 @@
   tasks: z.array(taskSnapshotSchema),
   nextIndex: z.array(z.tuple([z.string(), z.int().min(0)])),
   ids: z.array(z.string()),
-  /** The nodes that may act on workers; a snapshot of an older version has none. */
+  /** The nodes that may act on workers; absent in a snapshot of an older version. */
   members: z
     .array(z.object({ nodeId: z.string(), incarnation: z.string(), offset: z.int() }))
     .default([]),
--- a/packages/protocol/src/errors.ts
+++ b/packages/protocol/src/errors.ts
@@ -1,7 +1,7 @@
 import type { Outcome, ResultCode, ResultCodeKey } from './result-codes.js';
 import { RESULT_CODES } from './result-codes.js';
 
-/** One fault in something a person wrote: where, what was expected and what was found. */
+/** One fault in input written by a person: its path, the expected value and the value found. */
 export interface Fault {
   readonly path: string;
   readonly expected: string;
@@ -9,7 +9,7 @@
 }
 
 /**
- * The base of all errors that carry a numbered result code.
+ * The base class of all errors that carry a numbered result code.
  *
  * @example
  * throw new CodedError('overloaded', 'service booking: 40 requests wait');
@@ -21,8 +21,8 @@
 
   /**
    * @param key - The key of the result code.
-   * @param detail - What happened, in words that name the thing concerned.
-   * @param outcome - What is known about the work that was asked for.
+   * @param detail - A description of the failure that names the object concerned.
+   * @param outcome - Whether the requested work has run, as far as is known.
    */
   constructor(key: ResultCodeKey, detail: string, outcome?: Outcome) {
     super(detail);
@@ -32,7 +32,7 @@
   }
 }
 
-/** Something a person wrote has faults; all of them are listed at once. */
+/** Thrown for invalid input written by a person. Lists all faults at once. */
 export class InvalidInputError extends CodedError {
   readonly faults: readonly Fault[];
 
@@ -42,5 +42,5 @@
   }
 }
 
-/** The platform did not answer, or its answer was lost: the action may have taken effect. */
+/** Thrown if the platform did not answer or its answer was lost. The action may have taken effect. */
 export class PlatformError extends CodedError {}
--- a/packages/protocol/src/event-filter.ts
+++ b/packages/protocol/src/event-filter.ts
@@ -1,6 +1,6 @@
 import type { TimelineEvent } from './event.js';
 
-/** Which events of the time line are wanted; what is left out is not asked for. */
+/** A filter for events of the timeline. A criterion that is left out matches every event. */
 export interface EventFilter {
   readonly task?: string | undefined;
   readonly request?: string | undefined;
@@ -9,7 +9,7 @@
   readonly kind?: string | undefined;
 }
 
-/** Whether an event passes every part of the filter. */
+/** Returns whether an event matches every criterion of the filter. */
 export function matchesFilter({ event, fields }: TimelineEvent, filter: EventFilter): boolean {
   if (filter.kind !== undefined && filter.kind !== event) return false;
   return (['task', 'request', 'host'] as const).every(
--- a/packages/protocol/src/event.ts
+++ b/packages/protocol/src/event.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 
-/** One event of the time line. Its `hlc` orders events of all processes. */
+/** One event of the timeline. Its `hlc` stamp orders the events of all processes. */
 export const timelineEventSchema = z.object({
   hlc: z.string(),
   node: z.string(),
--- a/packages/protocol/src/host-list.ts
+++ b/packages/protocol/src/host-list.ts
@@ -1,18 +1,18 @@
 import { z } from 'zod';
 import { resourcesSchema } from './resources.js';
 
-/** A worker's host as the platform's list shows it, some time late. */
+/** A worker's host as shown by the platform's list, which lags behind the actual state. */
 export const listedHostSchema = z.object({
   hostId: z.string(),
   dataCentre: z.string(),
   rack: z.string(),
-  /** `ip:port` of the worker. */
+  /** The address of the worker as `ip:port`. */
   address: z.string(),
   capacity: resourcesSchema,
   state: z.enum(['live', 'leaving']),
 });
 
-/** The list; `version` goes up with each change where the platform gives one. */
+/** The host list. If the platform gives a `version`, it increases with each change. */
 export const hostListSchema = z.object({
   hosts: z.array(listedHostSchema),
   version: z.int().optional(),
--- a/packages/protocol/src/hybrid-clock.ts
+++ b/packages/protocol/src/hybrid-clock.ts
@@ -3,10 +3,10 @@
 const RADIX = 36;
 
 /**
- * A hybrid logical clock: wall-clock time where clocks agree, and never behind a stamp that
- * was received, so that an effect is never stamped before its cause.
+ * A hybrid logical clock. It follows wall-clock time but never falls behind a stamp that was
+ * received, so an effect is never stamped before its cause.
  *
- * Stamps are strings that compare in time order.
+ * Stamps are strings whose lexicographic order is their order in time.
  *
  * @example
  * const clock = new HybridClock(() => Date.now());
@@ -20,12 +20,12 @@
 
   #counter = 0;
 
-  /** @param now - Gives wall-clock time in milliseconds. */
+  /** @param now - Returns the wall-clock time in milliseconds. */
   constructor(now: () => number) {
     this.#now = now;
   }
 
-  /** Returns a stamp after every stamp given or observed before. */
+  /** Returns a stamp that is later than every stamp returned or observed before. */
   tick(): string {
     const now = this.#now();
     if (now > this.#millis) {
@@ -37,7 +37,7 @@
     return formatStamp(this.#millis, this.#counter);
   }
 
-  /** Takes note of a stamp from another process. A malformed stamp is ignored. */
+  /** Advances the clock to a stamp from another process. Ignores a malformed stamp. */
   observe(stamp: string): void {
     const [millis, counter] = parseStamp(stamp);
     if (Number.isNaN(millis) || Number.isNaN(counter)) return;
@@ -61,12 +61,12 @@
   return [parseInt(high, RADIX), parseInt(low, RADIX)];
 }
 
-/** The wall-clock part of a stamp, in milliseconds. */
+/** Returns the wall-clock part of a stamp in milliseconds. */
 export function stampMillis(stamp: string): number {
   return parseStamp(stamp)[0];
 }
 
-/** The earliest stamp of a time in milliseconds: every later event compares after it. */
+/** Returns the earliest stamp of a time in milliseconds. Stamps of later events compare after it. */
 export function stampAt(millis: number): string {
   return formatStamp(Math.max(0, Math.floor(millis)), 0);
 }
--- a/packages/protocol/src/keyed-request.ts
+++ b/packages/protocol/src/keyed-request.ts
@@ -4,47 +4,50 @@
 
 const headersSchema = z.record(z.string(), z.union([z.string(), z.array(z.string())]));
 
-/** A request with an idempotency key, as it goes whole to the key's home. */
+/**
+ * A complete request with an idempotency key, as sent to the key's home: the entry host that
+ * remembers the key.
+ */
 export const keyedRequestSchema = z.object({
   key: z.string(),
-  /** Milliseconds since the caller first sent the key, by the caller's word. */
+  /** Milliseconds since the caller first sent the key, as stated by the caller. */
   ageMs: z.number().min(0).optional(),
-  /** Digest of everything that makes two requests the same one. */
+  /** Digest of all content that must be equal for two requests to count as the same. */
   fingerprint: z.string(),
-  /** Digest of the entry hosts that the sender knows: a home by another list is none. */
+  /** Digest of the sender's list of entry hosts. The home rejects requests under another list. */
   hostsDigest: z.string(),
   service: z.string(),
   method: z.string(),
   path: z.string(),
   headers: headersSchema,
-  /** Base64. */
+  /** The body in Base64. */
   body: z.string(),
-  /** Milliseconds that are left. */
+  /** Milliseconds until the request's deadline. */
   leftMs: z.number(),
 });
 
 export type KeyedRequest = z.infer<typeof keyedRequestSchema>;
 
-const codeKeySchema = z.custom<ResultCodeKey>(
+const resultCodeKeySchema = z.custom<ResultCodeKey>(
   (value) => typeof value === 'string' && value in RESULT_CODES,
 );
 
-/** The whole answer of an endpoint, or why there is none. */
+/** The complete answer of an endpoint, or the reason why there is no answer. */
 export const keyedAnswerSchema = z.discriminatedUnion('type', [
   z.object({
     type: z.literal('answer'),
     status: z.int(),
     headers: headersSchema,
-    /** Base64. */
+    /** The body in Base64. */
     body: z.string(),
   }),
   z.object({
     type: z.literal('problem'),
-    code: codeKeySchema,
+    code: resultCodeKeySchema,
     detail: z.string(),
-    /** What is known of the key, over all sends of it. */
+    /** Whether the request has run in any send of the key, as far as is known. */
     outcome: z.enum(['not-run', 'unknown', 'ran']),
-    /** Whether it is known that this send ran nothing. */
+    /** Whether this send is known not to have run the request. */
     thisSendNotRun: z.boolean(),
     retryAfterS: z.number().optional(),
   }),
@@ -52,11 +55,12 @@
 
 export type KeyedAnswer = z.infer<typeof keyedAnswerSchema>;
 
-/** The keys of a home that ended, kept by a peer until the home starts again. */
+/** The keys of a home whose process ended, stored by a peer until the home restarts. */
 export const keyMemorySnapshotSchema = z.object({
   nodeId: z.string(),
-  /** The process that ended: only its direct successor may take the memory over. */
+  /** The incarnation that ended. Only its direct successor may take over its keys. */
   incarnation: z.string(),
+  /** `keys` holds all keys of this last time span in milliseconds; null if it holds all keys. */
   completeForMs: z.number().nullable(),
   keys: z
     .array(
@@ -72,7 +76,7 @@
 
 export type KeyMemorySnapshot = z.infer<typeof keyMemorySnapshotSchema>;
 
-/** A kept memory, with the milliseconds for which it was kept. */
+/** The keys stored for a home, with the time in milliseconds for which they were stored. */
 export interface StoredKeyMemory {
   readonly memory: KeyMemorySnapshot;
   readonly heldMs: number;
--- a/packages/protocol/src/log-messages.ts
+++ b/packages/protocol/src/log-messages.ts
@@ -1,9 +1,9 @@
 import { z } from 'zod';
 
-/** A record of the platform's log with its place in the stream. */
+/** A record of the platform's log with its offset in the stream. */
 export const logEntrySchema = z.object({ offset: z.int().min(0), value: z.unknown() });
 
-/** An answer to a read: `first` is the oldest offset kept, `next` the one to read from next. */
+/** An answer to a read. `first` is the oldest offset retained, `next` the next offset to read. */
 export const logPageSchema = z.object({
   entries: z.array(logEntrySchema),
   first: z.int().min(0),
--- a/packages/protocol/src/manifest-snapshot.ts
+++ b/packages/protocol/src/manifest-snapshot.ts
@@ -2,7 +2,7 @@
 
 export const REJECTION_REASONS = ['invalid', 'conflict', 'repeated', 'foreign'] as const;
 
-/** Why a manifest on the log did not come into force. */
+/** The reason why a manifest on the log did not come into force. */
 export const manifestRejectionSchema = z.object({
   offset: z.int().min(0),
   id: z.string(),
@@ -10,11 +10,11 @@
   detail: z.string(),
 });
 
-/** The whole state of a manifest fold as plain data, as of `offset`. */
+/** The complete state of a manifest fold as plain data, as of `offset`. */
 export const manifestSnapshotSchema = z.object({
   offset: z.int().min(-1),
   acceptedId: z.string().optional(),
-  /** The manifest in force; absent before the first. */
+  /** The manifest in force; absent before the first manifest. */
   manifest: z.unknown().optional(),
   rejections: z.array(manifestRejectionSchema),
 });
--- a/packages/protocol/src/manifest.ts
+++ b/packages/protocol/src/manifest.ts
@@ -7,15 +7,15 @@
   .max(63)
   .regex(/^[a-z0-9]([a-z0-9-]*[a-z0-9])?$/, 'lower-case letters, digits and dashes');
 
-/** How much work matters, from most to least. Under overload the last goes first. */
+/** The priority tiers of work from highest to lowest. Overload sheds the lowest tier first. */
 export const TIERS = ['critical', 'high', 'normal', 'low'] as const;
 
 export type Tier = (typeof TIERS)[number];
 
 /**
- * What happens to a running task when the platform's log stays unreachable for long.
- * `checkpoint`: its lease lapses and it may move. `keep`: renewals go on, and it moves only
- * on its worker's word.
+ * What happens to a running task when the platform's log stays unreachable for a long time.
+ * `checkpoint`: its lease expires, and it may move. `keep`: its lease is still renewed, and it moves
+ * only after its worker has reported its end.
  */
 export const ON_OUTAGE = ['keep', 'checkpoint'] as const;
 
@@ -45,7 +45,7 @@
   name,
   team: name,
   tier: z.enum(TIERS).default('normal'),
-  /** A job belongs to one data centre: no two data centres ever decide about one task. */
+  /** The one data centre of the job, so that two data centres never decide about one task. */
   dataCentre: name,
   tasks: z.int().min(1).max(100_000),
   resources: resourcesSchema,
@@ -53,7 +53,7 @@
   deadline: z.iso.datetime().optional(),
   expectedRunMs: z.int().min(1).default(60_000),
   maxAttempts: z.int().min(1).max(1_000).default(20),
-  /** Racks on which the tasks may run; empty for all. */
+  /** The racks on which the tasks may run; empty for all racks. */
   racks: z.array(name).max(1000).default([]),
   onOutage: z.enum(ON_OUTAGE).default('checkpoint'),
 });
@@ -61,14 +61,14 @@
 const teamSchema = z.strictObject({
   name,
   quota: resourcesSchema,
-  /** The weight of the team's fair share where the quotas together exceed the hosts. */
+  /** The weight of the team's fair share if the sum of the quotas exceeds the hosts' capacity. */
   weight: z.number().positive().max(1000).default(1),
 });
 
 const manifestShape = z.strictObject({
   apiVersion: z.literal('redwingcrank/v1'),
   version: z.int().min(1),
-  /** The version this manifest replaces: 0 for the first one. */
+  /** The version that this manifest replaces; 0 for the first manifest. */
   replaces: z.int().min(0),
   dataCentres: z.array(name).min(1).max(64),
   teams: z.array(teamSchema).max(2000),
@@ -82,62 +82,69 @@
 export type Manifest = z.infer<typeof manifestShape>;
 export type RequestRule = z.infer<typeof requestRuleSchema>;
 
-type Report = (path: (string | number)[], message: string) => void;
+type FaultReporter = (path: (string | number)[], message: string) => void;
 
-function checkUnique(items: readonly string[], at: string, field: string, report: Report): void {
+function checkUnique(
+  items: readonly string[],
+  listName: string,
+  field: string,
+  reportFault: FaultReporter,
+): void {
   const seen = new Set<string>();
   items.forEach((item, i) => {
-    if (seen.has(item)) report([at, i, field], `a unique ${field}; ${item} is there twice`);
+    if (seen.has(item))
+      reportFault([listName, i, field], `a unique ${field}; ${item} is there twice`);
     seen.add(item);
   });
 }
 
-function checkReferences(manifest: Manifest, report: Report): void {
+function checkReferences(manifest: Manifest, reportFault: FaultReporter): void {
   const teams = new Set(manifest.teams.map((team) => team.name));
   const dataCentres = new Set(manifest.dataCentres);
   manifest.services.forEach((service, i) => {
-    if (!teams.has(service.team)) report(['services', i, 'team'], 'the name of a team');
+    if (!teams.has(service.team)) reportFault(['services', i, 'team'], 'the name of a team');
     for (const dc of Object.keys(service.replicas)) {
       if (!dataCentres.has(dc))
-        report(['services', i, 'replicas', dc], 'the name of a data centre');
+        reportFault(['services', i, 'replicas', dc], 'the name of a data centre');
     }
   });
   manifest.jobs.forEach((job, i) => {
-    if (!teams.has(job.team)) report(['jobs', i, 'team'], 'the name of a team');
+    if (!teams.has(job.team)) reportFault(['jobs', i, 'team'], 'the name of a team');
     if (!dataCentres.has(job.dataCentre)) {
-      report(['jobs', i, 'dataCentre'], 'the name of a data centre');
+      reportFault(['jobs', i, 'dataCentre'], 'the name of a data centre');
     }
   });
 }
 
-/** The whole manifest: its shape and the references between its parts. */
+/** The schema of a manifest, including uniqueness and the references between its parts. */
 export const manifestSchema = manifestShape.superRefine((manifest, ctx) => {
-  const report: Report = (path, message) => ctx.addIssue({ code: 'custom', path, message });
+  const reportFault: FaultReporter = (path, message) =>
+    ctx.addIssue({ code: 'custom', path, message });
   if (manifest.version <= manifest.replaces) {
-    report(['version'], 'a number above the one in replaces');
+    reportFault(['version'], 'a number above the one in replaces');
   }
   checkUnique(
     manifest.teams.map((t) => t.name),
     'teams',
     'name',
-    report,
+    reportFault,
   );
   checkUnique(
     [...manifest.services, ...manifest.jobs].map((s) => s.name),
     'services and jobs',
     'name',
-    report,
+    reportFault,
   );
   checkUnique(
     manifest.services.map((s) => s.pathPrefix),
     'services',
     'pathPrefix',
-    report,
+    reportFault,
   );
-  checkReferences(manifest, report);
+  checkReferences(manifest, reportFault);
 });
 
-const FOUND_LIMIT = 60;
+const MAX_FOUND_CHARS = 60;
 
 function valueAt(root: unknown, path: readonly PropertyKey[]): unknown {
   return path.reduce<unknown>(
@@ -149,7 +156,7 @@
   );
 }
 
-/** What zod expected, without its own words around it. */
+/** Returns the expectation in an issue of zod, without the text that zod puts around it. */
 function expectationOf(issue: z.core.$ZodIssue): string {
   if (issue.code === 'unrecognized_keys') return `known fields, not ${issue.keys.join(', ')}`;
   return issue.message
@@ -157,14 +164,14 @@
     .replace(/, received .*$/, '');
 }
 
-/** Turns the issues that zod found in `input` into faults with path, expectation and finding. */
+/** Converts the issues that zod found in `input` into faults. */
 export function faultsOf(error: z.ZodError, input: unknown): Fault[] {
   return error.issues.map((issue) => {
     const found = JSON.stringify(valueAt(input, issue.path)) ?? 'nothing';
     return {
       path: issue.path.map(String).join('.') || '(root)',
       expected: expectationOf(issue),
-      found: found.length > FOUND_LIMIT ? `${found.slice(0, FOUND_LIMIT)}…` : found,
+      found: found.length > MAX_FOUND_CHARS ? `${found.slice(0, MAX_FOUND_CHARS)}…` : found,
     };
   });
 }
@@ -174,13 +181,13 @@
   | { readonly ok: false; readonly faults: Fault[] };
 
 /**
- * Checks a manifest from anywhere: a file, the log, a peer.
+ * Validates a manifest from any source, such as a file, the log or a peer.
  *
  * @param input - The parsed JSON.
- * @returns The manifest with defaults filled in, or every fault.
+ * @returns The manifest with defaults filled in, or all its faults.
  */
 export function readManifest(input: unknown): ManifestParseResult {
-  const reading = manifestSchema.safeParse(input);
-  if (reading.success) return { ok: true, manifest: reading.data };
-  return { ok: false, faults: faultsOf(reading.error, input) };
+  const result = manifestSchema.safeParse(input);
+  if (result.success) return { ok: true, manifest: result.data };
+  return { ok: false, faults: faultsOf(result.error, input) };
 }
--- a/packages/protocol/src/resources.ts
+++ b/packages/protocol/src/resources.ts
@@ -9,7 +9,7 @@
 
 export type Resources = z.infer<typeof resourcesSchema>;
 
-/** The names of the resources, for code that treats all alike. */
+/** The names of the resources, for code that treats all resources alike. */
 export const RESOURCE_KINDS = ['cpu', 'memoryMb', 'accelerators'] as const;
 
 export const NO_RESOURCES: Resources = { cpu: 0, memoryMb: 0, accelerators: 0 };
@@ -31,12 +31,12 @@
 }
 
 /**
- * Sums of fractional cores drift by rounding; a drift of this size is no over-commitment,
- * and without the margin a host filled exactly would refuse its last task.
+ * The tolerance of comparisons. Sums of fractional cores accumulate rounding errors, and without
+ * a margin a host that is filled exactly would not accept its last task.
  */
 const ROUNDING_MARGIN = 1e-6;
 
-/** Whether `need` fits into `room` in every resource. */
-export function fits(need: Resources, room: Resources): boolean {
-  return RESOURCE_KINDS.every((kind) => need[kind] <= room[kind] + ROUNDING_MARGIN);
+/** Returns whether `need` does not exceed `available` in any resource. */
+export function fits(need: Resources, available: Resources): boolean {
+  return RESOURCE_KINDS.every((kind) => need[kind] <= available[kind] + ROUNDING_MARGIN);
 }
--- a/packages/protocol/src/result-codes.ts
+++ b/packages/protocol/src/result-codes.ts
@@ -1,9 +1,9 @@
 /**
- * What a refusal or an error says about the work that was asked for.
+ * Whether the requested work has run, as stated by a refusal or an error.
  *
- * - `not-run`: it truly did not run; sending it again is safe.
- * - `unknown`: it may have run; only the caller can find out.
- * - `ran`: it ran, but the answer could not be given whole.
+ * - `not-run`: it certainly did not run, so a retry is safe.
+ * - `unknown`: it may have run, and only the caller can find out.
+ * - `ran`: it ran, but its answer could not be delivered completely.
  */
 export type Outcome = 'not-run' | 'unknown' | 'ran';
 
@@ -11,10 +11,10 @@
 export interface ResultCode {
   readonly code: number;
   readonly name: string;
-  /** The HTTP status that carries the code, or 0 where it never travels over HTTP. */
+  /** The HTTP status sent with the code; 0 if the code is never sent over HTTP. */
   readonly status: number;
   readonly summary: string;
-  /** What the reader of the code should do next. */
+  /** The recommended reaction, shown in docs/CODES.md and by the command line. */
   readonly action: string;
 }
 
@@ -27,8 +27,8 @@
 ): ResultCode => ({ code, name, status, summary, action });
 
 /**
- * Every numbered result code. Hundreds group them by where they arise: 1xx settings and
- * command line, 2xx manifest, 3xx request path, 4xx platform, 5xx scheduling, 6xx the job interface.
+ * All numbered result codes. The hundreds digit shows where a code arises: 1xx settings and command
+ * line, 2xx manifest, 3xx request path, 4xx platform, 5xx scheduling, 6xx job interface.
  */
 export const RESULT_CODES = {
   badSettings: row(
@@ -50,7 +50,7 @@
     'not-in-force',
     0,
     'Some nodes did not report the manifest in force in time.',
-    'See which nodes are named and look at their health.',
+    'Check the health of the nodes that are named.',
   ),
   badAdminRequest: row(
     104,
@@ -113,21 +113,21 @@
     'no-endpoint',
     503,
     'No endpoint of the service can be reached.',
-    'Come back after Retry-After.',
+    'Retry after the time in Retry-After.',
   ),
   overloaded: row(
     303,
     'overloaded',
     503,
     'The request cannot be served within its deadline.',
-    'Come back after Retry-After.',
+    'Retry after the time in Retry-After.',
   ),
   deadlineExceeded: row(
     304,
     'deadline-exceeded',
     504,
     'The deadline passed before an answer came.',
-    'See outcome before sending it again.',
+    'Check the outcome before sending it again.',
   ),
   answerLost: row(
     305,
@@ -190,14 +190,14 @@
     'log-unavailable',
     503,
     "The platform's log did not answer.",
-    'Wait; serving goes on without it.',
+    'Wait; requests are still served without it.',
   ),
   workerUnavailable: row(
     402,
     'worker-unavailable',
     503,
     'A worker did not answer.',
-    'Wait; the task is covered elsewhere once that is safe.',
+    'Wait; the task is started elsewhere once that is safe.',
   ),
   recordsLost: row(
     403,
@@ -254,14 +254,14 @@
     'store-unavailable',
     503,
     "This node cannot reach the platform's store; nothing was stored.",
-    'Ask another node, or come back in a second.',
+    'Send it to another node, or retry after one second.',
   ),
   unknownOutcome: row(
     606,
     'unknown-outcome',
     504,
     'No answer of the store came in time; it may have been stored.',
-    'Send the same id again: it stays one job.',
+    'Retry with the same id; this does not create a second job.',
   ),
   badCall: row(
     607,
@@ -275,7 +275,7 @@
     'long-wait',
     503,
     'Too many jobs wait for their turn; nothing was stored.',
-    'Come back after Retry-After.',
+    'Retry after the time in Retry-After.',
   ),
 } as const satisfies Record<string, ResultCode>;
 
--- a/packages/protocol/src/snapshot-part.ts
+++ b/packages/protocol/src/snapshot-part.ts
@@ -1,17 +1,17 @@
 import { z } from 'zod';
 
 /**
- * The most characters of state in one part. A record stays well under 256 KiB, also where every
- * character of it has to be escaped once.
+ * The maximum number of characters of state in one part. It keeps a record well below 256 KiB even
+ * if every character has to be escaped.
  */
 export const MAX_SNAPSHOT_PART_CHARS = 65_536;
 
-/** A state of more parts than this is not written: it would be 64 MiB. */
+/** The maximum number of parts, about 64 MiB of state. A larger state is not written. */
 export const MAX_SNAPSHOT_PARTS = 1_024;
 
 /**
- * One part of a snapshot: the state that a reader has once it has read all records up to `upTo`.
- * A snapshot counts only when all its parts stand on the log.
+ * One part of a snapshot, which holds the state after all records up to `upTo` have been folded.
+ * Readers ignore a snapshot until all its parts are on the log.
  */
 export const snapshotPartSchema = z.strictObject({
   type: z.literal('snapshot-part'),
--- a/packages/protocol/src/test/manifest_test.ts
+++ b/packages/protocol/src/test/manifest_test.ts
@@ -10,7 +10,7 @@
   resources: { cpu: 1, memoryMb: 100 },
 };
 
-const good = {
+const validManifest = {
   apiVersion: 'redwingcrank/v1',
   version: 1,
   replaces: 0,
@@ -20,38 +20,46 @@
   jobs: [],
 };
 
-function pathsOf(input: unknown): string[] {
-  const reading = readManifest(input);
-  return reading.ok ? [] : reading.faults.map((fault) => fault.path);
+function faultPathsOf(input: unknown): string[] {
+  const result = readManifest(input);
+  return result.ok ? [] : result.faults.map((fault) => fault.path);
 }
 
-test('a good manifest gets its defaults', () => {
-  const reading = readManifest(good);
-  assert.ok(reading.ok);
-  assert.equal(reading.manifest.services[0]?.slots, 8);
-  assert.equal(reading.manifest.services[0]?.connections, 64);
+test('a valid manifest is completed with the default values', () => {
+  const result = readManifest(validManifest);
+  assert.ok(result.ok);
+  assert.equal(result.manifest.services[0]?.slots, 8);
+  assert.equal(result.manifest.services[0]?.connections, 64);
 });
 
-const bad: [string, unknown, string[]][] = [
-  ['no object', 7, ['(root)']],
-  ['an unknown field', { ...good, extra: 1 }, ['(root)']],
-  ['a version that does not go up', { ...good, version: 1, replaces: 1 }, ['version']],
-  ['an unknown team', { ...good, teams: [] }, ['services.0.team']],
-  ['an unknown data centre', { ...good, dataCentres: ['dc9'] }, ['services.0.replicas.dc1']],
+const invalidCases: [string, unknown, string[]][] = [
+  ['a root that is not an object', 7, ['(root)']],
+  ['an unknown field', { ...validManifest, extra: 1 }, ['(root)']],
   [
-    'a negative claim',
-    { ...good, services: [{ ...service, resources: { cpu: -1, memoryMb: 1 } }] },
+    'a version that does not exceed the replaced one',
+    { ...validManifest, version: 1, replaces: 1 },
+    ['version'],
+  ],
+  ['an unknown team', { ...validManifest, teams: [] }, ['services.0.team']],
+  [
+    'an unknown data centre',
+    { ...validManifest, dataCentres: ['dc9'] },
+    ['services.0.replicas.dc1'],
+  ],
+  [
+    'negative resources',
+    { ...validManifest, services: [{ ...service, resources: { cpu: -1, memoryMb: 1 } }] },
     ['services.0.resources.cpu'],
   ],
   [
     'the same service twice',
-    { ...good, services: [service, service] },
+    { ...validManifest, services: [service, service] },
     ['services and jobs.1.name', 'services.1.pathPrefix'],
   ],
 ];
 
-for (const [what, input, paths] of bad) {
-  test(`a manifest with ${what} is refused, with the path of each fault`, () => {
-    assert.deepEqual(pathsOf(input), paths);
+for (const [description, input, paths] of invalidCases) {
+  test(`a manifest with ${description} is rejected, with the path of each fault`, () => {
+    assert.deepEqual(faultPathsOf(input), paths);
   });
 }
--- a/packages/protocol/src/worker-messages.ts
+++ b/packages/protocol/src/worker-messages.ts
@@ -4,9 +4,9 @@
 const attemptRef = { taskId: z.string(), attempt: z.int().min(1) };
 
 /**
- * A number from the worker's own monotonic clock, in milliseconds, handed out with every report.
- * A lease counts from the heartbeat that a renewal answers, so a renewal that was delayed on the
- * wire extends nothing beyond what it would have when it was written.
+ * A reading of the worker's monotonic clock in milliseconds, sent with every report. A lease counts
+ * from the heartbeat that a renewal answers, so a renewal that is delayed on the network does not
+ * extend the lease further than without the delay.
  */
 const heartbeatSchema = z.number();
 
@@ -19,30 +19,30 @@
   state: z.enum(WORKER_TASK_STATES),
   endpoint: z.string().optional(),
   checkpoint: z.string().optional(),
-  /** Work since the checkpoint, or since the start where there is none, in milliseconds. */
+  /** Work in milliseconds since the checkpoint, or since the start if there is no checkpoint. */
   lostMs: z.number().min(0).optional(),
 });
 
-/** Usage as measured some time ago; reports may be lost, repeated or out of order. */
+/** A past measurement of a task's usage. Reports may be lost, repeated or out of order. */
 const usageReportSchema = z.object({
   ...attemptRef,
   cpu: z.number(),
   memoryMb: z.number(),
-  /** How late the measurement is, in milliseconds. */
+  /** The age of the measurement in milliseconds. */
   ageMs: z.number(),
-  /** The tail latency of a service's own requests, in milliseconds, where it has any. */
+  /** The tail latency in milliseconds of a service's own requests, if it has any. */
   latencyMs: z.number().optional(),
 });
 
-/** What a worker answers to every call. */
+/** The answer of a worker to every call. */
 export const workerReportSchema = z.object({
   hostId: z.string(),
   /** Changes when the worker restarts. */
   incarnation: z.string(),
   heartbeat: heartbeatSchema,
   /**
-   * Whether tasks that an earlier incarnation started may still run without being listed. Until
-   * the worker denies it, an attempt that is not listed may run there all the same.
+   * Whether tasks of an earlier incarnation may still run without being listed. While this is
+   * true, the absence of an attempt from the list does not prove that it has ended.
    */
   orphans: z.boolean().default(false),
   tasks: z.array(taskReportSchema),
@@ -50,14 +50,14 @@
 });
 
 /**
- * A report with the control-stream offset that the asking node had folded when it asked: the
- * report shows the worker as it was after that record was written, however late it arrives.
+ * A report with the control-stream offset that the polling node had folded when it sent the call.
+ * However late it arrives, it shows the worker's state after the record at that offset was written.
  */
 export const polledReportSchema = z.object({ askedOffset: z.int(), report: workerReportSchema });
 
 /**
- * The worker refuses it where the heartbeat is of another incarnation or older than the lease:
- * a start that was delayed on the wire must not run a task that has moved meanwhile.
+ * Starts an attempt. The worker rejects the message if its heartbeat is from another incarnation or
+ * older than the lease, so that a start delayed on the network does not run a task that has moved.
  */
 export const startMessageSchema = z.object({
   ...attemptRef,
@@ -79,14 +79,14 @@
   attempts: z.array(z.object(attemptRef)),
 });
 
-/** Ends an attempt: after the answer it has ended and will never start. */
+/** Ends an attempt. After the answer, the attempt has ended and will never start. */
 export const stopMessageSchema = z.object(attemptRef);
 
 export const checkpointMessageSchema = z.object(attemptRef);
 
 export const throttleMessageSchema = z.object({
   ...attemptRef,
-  /** The part of its resources the task may use: above 0, at most 1. */
+  /** The share of its resources that the task may use: above 0, at most 1. */
   share: z.number().positive().max(1),
 });
 
