--- a/packages/cli/src/internal/cli-settings.ts
+++ b/packages/cli/src/internal/cli-settings.ts
@@ -26,7 +26,7 @@
 } as const satisfies SettingOptions;
 
 /** Further options that more than one command takes. */
-export const FILE_ARGUMENT = z.string().min(1, 'the path of a manifest');
+export const manifestPathSchema = z.string().min(1, 'the path of a manifest');
 
 const address = z.string().regex(/^[\d.]+:\d+$/, 'ip:port');
 
--- a/packages/cli/src/internal/commands/lists.ts
+++ b/packages/cli/src/internal/commands/lists.ts
@@ -6,7 +6,7 @@
 import type { CommonSettings } from '../command.js';
 import { Command, clusterOf } from '../command.js';
 import type { Output } from '../output.js';
-import { resourcesText } from '../output.js';
+import { formatResources } from '../output.js';
 
 /** A command that prints one list, gathered from a node of each data centre. */
 abstract class ListCommand<T extends Record<string, unknown>> extends Command {
@@ -62,7 +62,7 @@
 
   protected override rowOf(host: HostView): Record<string, unknown> {
     const { committed, capacity } = host;
-    return { ...host, committed: resourcesText(committed), capacity: resourcesText(capacity) };
+    return { ...host, committed: formatResources(committed), capacity: formatResources(capacity) };
   }
 }
 
@@ -119,6 +119,6 @@
 
   protected override rowOf(team: TeamView): Record<string, unknown> {
     const { committed, quota } = team;
-    return { ...team, committed: resourcesText(committed), quota: resourcesText(quota) };
+    return { ...team, committed: formatResources(committed), quota: formatResources(quota) };
   }
 }
--- a/packages/cli/src/internal/commands/publish.ts
+++ b/packages/cli/src/internal/commands/publish.ts
@@ -1,17 +1,17 @@
 import { z } from 'zod';
 import type { Manifest } from '@redwingcrank/protocol';
 import { CodedError, readManifest } from '@redwingcrank/protocol';
-import { FILE_ARGUMENT, nodesSchema } from '../cli-settings.js';
+import { manifestPathSchema, nodesSchema } from '../cli-settings.js';
 import type { Cluster } from '../cluster.js';
 import { Command, clusterOf } from '../command.js';
 import type { DiffLine } from '../manifest-diff.js';
-import { diffManifests, foreseeChanges, foreseeQuotas } from '../manifest-diff.js';
+import { diffManifests, predictChanges, predictQuotaOverruns } from '../manifest-diff.js';
 import type { Output } from '../output.js';
 import { publish } from '../publish-manifest.js';
 import { readManifestFile } from '../read-manifest-file.js';
 
 const schema = nodesSchema.extend({
-  file: FILE_ARGUMENT,
+  file: manifestPathSchema,
   dryRun: z.boolean(),
   waitMs: z.int().min(0).max(600_000),
 });
@@ -79,8 +79,8 @@
   });
   const lines: DiffLine[] = [
     ...diffManifests(before, after),
-    ...states.flatMap((state) => [...foreseeChanges(after, state)]),
-    ...foreseeQuotas(after),
+    ...states.flatMap((state) => [...predictChanges(after, state)]),
+    ...predictQuotaOverruns(after),
   ];
   if (lines.length === 0) out.line('nothing changes');
   out.rows(
--- a/packages/cli/src/internal/commands/timeline.ts
+++ b/packages/cli/src/internal/commands/timeline.ts
@@ -7,7 +7,7 @@
 import type { Cluster } from '../cluster.js';
 import { Command, clusterOf } from '../command.js';
 import type { Output } from '../output.js';
-import { formatEvent, mergedEvents, sortEvents } from '../time-line.js';
+import { formatEvent, fetchEvents, sortEvents } from '../timeline-events.js';
 
 const UNITS_MS: Readonly<Record<string, number>> = { s: 1_000, m: 60_000, h: 3_600_000 };
 const SINCE_PATTERN = /^(\d+)([smh])$/;
@@ -68,7 +68,7 @@
     const cluster = clusterOf(settings);
     await cluster.reachable();
     const after = settings.since === undefined ? '' : stampAt(sinceMillis(settings.since));
-    const events = await mergedEvents(cluster.clients, after, settings);
+    const events = await fetchEvents(cluster.clients, after, settings);
     const newest = events.slice(-settings.last);
     if (settings.follow) {
       await followEvents(cluster, settings, newest, out);
--- a/packages/cli/src/internal/commands/validate.ts
+++ b/packages/cli/src/internal/commands/validate.ts
@@ -1,10 +1,10 @@
 import type { z } from 'zod';
-import { FILE_ARGUMENT, commonSchema } from '../cli-settings.js';
+import { manifestPathSchema, commonSchema } from '../cli-settings.js';
 import { Command } from '../command.js';
 import type { Output } from '../output.js';
 import { readManifestFile } from '../read-manifest-file.js';
 
-const schema = commonSchema.extend({ file: FILE_ARGUMENT });
+const schema = commonSchema.extend({ file: manifestPathSchema });
 
 /** Checks a manifest without asking any node. */
 export class Validate extends Command<z.infer<typeof schema>> {
--- a/packages/cli/src/internal/commands/why.ts
+++ b/packages/cli/src/internal/commands/why.ts
@@ -4,7 +4,7 @@
 import { nodesSchema } from '../cli-settings.js';
 import { Command, clusterOf } from '../command.js';
 import type { Output } from '../output.js';
-import { formatEvent, sortEvents } from '../time-line.js';
+import { formatEvent, sortEvents } from '../timeline-events.js';
 
 const schema = nodesSchema.extend({
   task: z.string().regex(/^[^/]+\/[^/]+\/\d+$/, 'dataCentre/owner/index'),
--- a/packages/cli/src/internal/manifest-diff.ts
+++ b/packages/cli/src/internal/manifest-diff.ts
@@ -64,7 +64,7 @@
 }
 
 /** What the manifest would start, stop, or never be able to run in one data centre. */
-export function* foreseeChanges(
+export function* predictChanges(
   after: Manifest,
   state: DataCentreState,
 ): Generator<DiffLine, void> {
@@ -121,7 +121,7 @@
 }
 
 /** Teams whose services and jobs together ask for more than the quota. */
-export function* foreseeQuotas(after: Manifest): Generator<DiffLine, void> {
+export function* predictQuotaOverruns(after: Manifest): Generator<DiffLine, void> {
   for (const team of after.teams) {
     const services = after.services
       .filter((service) => service.team === team.name)
--- a/packages/cli/src/internal/output.ts
+++ b/packages/cli/src/internal/output.ts
@@ -111,7 +111,7 @@
 }
 
 /** Resources as a person reads them: cores, memory, and accelerators where there are any. */
-export function resourcesText(resources: {
+export function formatResources(resources: {
   readonly cpu: number;
   readonly memoryMb: number;
   readonly accelerators?: number | undefined;
--- a/packages/cli/src/internal/time-line.ts
+++ b/packages/cli/src/internal/timeline-events.ts
@@ -11,7 +11,7 @@
 }
 
 /** The events of all nodes that answer, in the order of their stamps. */
-export async function mergedEvents(
+export async function fetchEvents(
   nodes: readonly AdminClient[],
   after: string,
   filter: EventFilter = {},
--- a/packages/cli/src/test/manifest-diff_test.ts
+++ b/packages/cli/src/test/manifest-diff_test.ts
@@ -3,7 +3,7 @@
 import type { Manifest } from '@redwingcrank/protocol';
 import { readManifest } from '@redwingcrank/protocol';
 import type { DiffLine } from '../index.js';
-import { diffManifests, foreseeChanges, foreseeQuotas } from '../index.js';
+import { diffManifests, predictChanges, predictQuotaOverruns } from '../index.js';
 
 function manifest(change: object): Manifest {
   const base = {
@@ -73,15 +73,17 @@
 });
 
 test('a dry run names what would start, stop, wait or never fit', () => {
-  assert.deepEqual(brief(foreseeChanges(manifest({ services: [service(3)] }), state)), [
+  assert.deepEqual(brief(predictChanges(manifest({ services: [service(3)] }), state)), [
     'stop dc1/old/0',
     'start booking in dc1',
   ]);
-  assert.deepEqual(brief(foreseeChanges(manifest({ services: [service(2, 16)] }), state)), [
+  assert.deepEqual(brief(predictChanges(manifest({ services: [service(2, 16)] }), state)), [
     'stop dc1/old/0',
     'start booking in dc1',
     'refuse booking in dc1',
     'warn dc1',
   ]);
-  assert.deepEqual(brief(foreseeQuotas(manifest({ services: [service(9)] }))), ['warn team a']);
+  assert.deepEqual(brief(predictQuotaOverruns(manifest({ services: [service(9)] }))), [
+    'warn team a',
+  ]);
 });
--- a/packages/docs/src/charts-page.ts
+++ b/packages/docs/src/charts-page.ts
@@ -1,7 +1,7 @@
 import * as decisions from '@redwingcrank/decisions';
 import type { ChartFile } from '@redwingcrank/decisions';
 import type { GeneratedFile } from './generated-file.js';
-import { pageHead } from './generated-file.js';
+import { pageHeader } from './generated-file.js';
 
 type AnyChartFile = ChartFile<string, string>;
 
@@ -37,7 +37,7 @@
 export const chartsPage: GeneratedFile = {
   path: 'docs/CHARTS.md',
   generate: () => {
-    const head = pageHead('State charts', 'packages/decisions/src/charts/');
+    const head = pageHeader('State charts', 'packages/decisions/src/charts/');
     return [head, INTRODUCTION, ...chartFiles().map(draw)].join('\n');
   },
 };
--- a/packages/docs/src/codes-page.ts
+++ b/packages/docs/src/codes-page.ts
@@ -1,6 +1,6 @@
 import { RESULT_CODES } from '@redwingcrank/protocol';
 import type { GeneratedFile } from './generated-file.js';
-import { markdownTable, pageHead } from './generated-file.js';
+import { markdownTable, pageHeader } from './generated-file.js';
 
 const GROUP_SIZE = 100;
 
@@ -39,7 +39,7 @@
       const table = markdownTable(['Code', 'Name', 'HTTP', 'Meaning', 'What to do'], rows);
       return `## ${title}\n\n${table}\n`;
     });
-    const head = pageHead('Result codes', 'packages/protocol/src/result-codes.ts');
+    const head = pageHeader('Result codes', 'packages/protocol/src/result-codes.ts');
     return [head, INTRODUCTION, ...sections].join('\n');
   },
 };
--- a/packages/docs/src/generated-file.ts
+++ b/packages/docs/src/generated-file.ts
@@ -7,7 +7,7 @@
 }
 
 /** The first lines of a generated page. */
-export function pageHead(title: string, source: string): string {
+export function pageHeader(title: string, source: string): string {
   return `# ${title}\n\nGenerated from \`${source}\` by \`npm run docs\`; a test compares them.\n`;
 }
 
--- a/packages/docs/src/index.ts
+++ b/packages/docs/src/index.ts
@@ -6,7 +6,7 @@
 import { settingsPage } from './settings-page.js';
 
 export type { GeneratedFile } from './generated-file.js';
-export { formatted } from './formatted.js';
+export { formatGeneratedFile } from './format-generated-file.js';
 
 /** Every committed file that is generated from the code. */
 export const GENERATED_FILES: readonly GeneratedFile[] = [
--- a/packages/docs/src/main.ts
+++ b/packages/docs/src/main.ts
@@ -1,8 +1,8 @@
 import { writeFile } from 'node:fs/promises';
-import { GENERATED_FILES, formatted } from './index.js';
+import { GENERATED_FILES, formatGeneratedFile } from './index.js';
 
 for (const file of GENERATED_FILES) {
-  const { path, text } = await formatted(file);
+  const { path, text } = await formatGeneratedFile(file);
   await writeFile(path, text);
   process.stdout.write(`${file.path}\n`);
 }
--- a/packages/docs/src/settings-page.ts
+++ b/packages/docs/src/settings-page.ts
@@ -3,7 +3,7 @@
 import type { SettingOptions } from '@redwingcrank/ports';
 import { environmentVariableOf } from '@redwingcrank/ports';
 import type { GeneratedFile } from './generated-file.js';
-import { markdownTable, pageHead } from './generated-file.js';
+import { markdownTable, pageHeader } from './generated-file.js';
 
 const INTRODUCTION = `
 Flags go before variables, variables before defaults. A list is comma-separated, and a flag that
@@ -39,7 +39,7 @@
   path: 'docs/SETTINGS.md',
   generate: () =>
     [
-      pageHead('Settings and commands', 'packages/daemon and packages/cli'),
+      pageHeader('Settings and commands', 'packages/daemon and packages/cli'),
       INTRODUCTION,
       `## redwingcrankd\n\n${table(NODE_OPTIONS)}\n`,
       `## redwingcrank, every command\n\n${table(COMMON_OPTIONS)}\n`,
--- a/packages/docs/src/test/generated_test.ts
+++ b/packages/docs/src/test/generated_test.ts
@@ -2,11 +2,11 @@
 import { readFile } from 'node:fs/promises';
 import { test } from 'node:test';
 import { readManifest } from '@redwingcrank/protocol';
-import { GENERATED_FILES, formatted } from '../index.js';
+import { GENERATED_FILES, formatGeneratedFile } from '../index.js';
 
 for (const file of GENERATED_FILES) {
   test(`${file.path} says what the code says`, async () => {
-    const { path, text } = await formatted(file);
+    const { path, text } = await formatGeneratedFile(file);
     const committed = (await readFile(path, 'utf8')).split('\n');
     const stale = committed.findIndex((line, i) => line !== text.split('\n')[i]);
     const same = committed.join('\n') === text;
--- a/packages/standins/src/demo-main.ts
+++ b/packages/standins/src/demo-main.ts
@@ -6,7 +6,7 @@
   AdminClient,
   Output,
   formatEvent,
-  mergedEvents,
+  fetchEvents,
   publish,
   readManifestFile,
 } from '@redwingcrank/cli';
@@ -120,7 +120,7 @@
   say('The batch job routes is done: 3 of 3 tasks completed.');
 
   say('\nThe last lines of the time line, over all processes:');
-  const events = await mergedEvents(clients, '');
+  const events = await fetchEvents(clients, '');
   events.slice(-TIMELINE_LINES).forEach((event) => say(formatEvent(event)));
 
   const codes = await platform.stop();
