--- a/packages/daemon/src/internal/answer-buffer.ts
+++ b/packages/daemon/src/internal/answer-buffer.ts
@@ -1,20 +1,21 @@
 import type http from 'node:http';
 import { RequestError } from './problem.js';
 
-/** A whole answer in memory. */
+/** A complete answer in memory. */
 export interface BufferedAnswer {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: Buffer;
 }
 
-/** A keyed answer goes whole through its home, so it must fit into memory many times over. */
+/** The home buffers each keyed answer completely, so many of them must fit into memory. */
 export const MAX_KEYED_ANSWER_BYTES = 4 * 1024 * 1024;
 
 /**
  * Reads an answer to its end.
  *
- * @throws RequestError (305) where it was cut short or is too large: the request did run.
+ * @throws RequestError (305) if the answer was cut short; (311) if it is too large, in which case
+ *   the request did run.
  */
 export async function readAnswer(res: http.IncomingMessage): Promise<BufferedAnswer> {
   const chunks: Buffer[] = [];
--- a/packages/daemon/src/internal/backoff.ts
+++ b/packages/daemon/src/internal/backoff.ts
@@ -1,30 +1,30 @@
-/** The first pause after a failure; each further failure doubles the range up to the limit. */
+/** Upper bound of the first pause. Each further failure doubles it, up to the limit below. */
 const FIRST_PAUSE_MS = 100;
-const LONGEST_PAUSE_MS = 1_000;
+const MAX_PAUSE_MS = 1_000;
 
 /**
- * Pauses between attempts at something that is down. The pause is drawn anew each time: after an
- * outage of the platform every node of every data centre comes back, and without the spread they
- * would all come in the same moment and bring it down again.
+ * Exponential backoff with jitter, for retries of a failing operation. After an outage of the
+ * platform, every node of every data centre retries; without jitter they would all retry at the
+ * same moment and overload it again.
  */
 export class Backoff {
   readonly #random: () => number;
 
   #failures = 0;
 
-  /** @param random - Draws from 0 up to 1. */
+  /** @param random - Returns a number from 0 (inclusive) to 1 (exclusive). */
   constructor(random: () => number = Math.random) {
     this.#random = random;
   }
 
-  /** The pause in milliseconds after one more failure: between half the range and the whole. */
+  /** Counts a failure and returns the pause in ms, drawn between half the bound and the bound. */
   next(): number {
-    const range = Math.min(FIRST_PAUSE_MS * 2 ** this.#failures, LONGEST_PAUSE_MS);
+    const boundMs = Math.min(FIRST_PAUSE_MS * 2 ** this.#failures, MAX_PAUSE_MS);
     this.#failures += 1;
-    return range / 2 + (this.#random() * range) / 2;
+    return boundMs / 2 + (this.#random() * boundMs) / 2;
   }
 
-  /** After a success the next failure counts as the first. */
+  /** Records a success: the next failure counts as the first. */
   reset(): void {
     this.#failures = 0;
   }
--- a/packages/daemon/src/internal/caller-listener.ts
+++ b/packages/daemon/src/internal/caller-listener.ts
@@ -7,23 +7,23 @@
 const HEADERS_TIMEOUT_MS = 5_000;
 const REQUEST_TIMEOUT_MS = 30_000;
 
-/** Node looks for senders that are too slow only every 30 s where it is told nothing. */
+/** Node checks for slow senders only every 30 s by default. */
 const TIMEOUT_CHECK_MS = 1_000;
 
-/** Longer than the usual balancer keeps an idle connection, so that not we are the ones who close it. */
+/** Longer than load balancers usually keep an idle connection, so that they close it first. */
 const KEEP_ALIVE_MS = 75_000;
 
 const DRAIN_POLL_MS = 20;
 
-/** Answers one request; settles when the answer is out or its connection is destroyed. */
+/** Answers one request; settles when the answer is written or its connection is destroyed. */
 export type RequestHandler = (req: http.IncomingMessage, res: http.ServerResponse) => Promise<void>;
 
 interface CallerConnection {
-  open: number;
+  openRequests: number;
   idleSince: number;
 }
 
-/** The listener for callers, with a shutdown that cuts off no request. */
+/** The HTTP listener for callers. Its shutdown cuts off no request. */
 export class CallerListener {
   readonly #server: http.Server;
 
@@ -33,8 +33,8 @@
 
   #draining = false;
 
-  /** @param idleGraceMs - How long a drain waits for a request on an idle connection. */
-  constructor(serve: RequestHandler, idleGraceMs: number) {
+  /** @param idleGraceMs - Time that a drain waits for a request on an idle connection. */
+  constructor(handle: RequestHandler, idleGraceMs: number) {
     this.#idleGraceMs = idleGraceMs;
     this.#server = http.createServer(
       {
@@ -45,10 +45,10 @@
         maxHeaderSize: MAX_HEADER_BYTES,
       },
       (req, res) => {
-        this.#track(req, res, serve);
+        this.#track(req, res, handle);
       },
     );
-    this.#server.on('connection', (socket) => this.#remember(socket));
+    this.#server.on('connection', (socket) => this.#addConnection(socket));
   }
 
   get draining(): boolean {
@@ -66,52 +66,53 @@
   }
 
   /**
-   * Takes no new connections and answers all that is open. A connection that is idle stays for
-   * a grace, since a request may be on the wire to it; the answer to that says `close`.
+   * Accepts no new connections and answers all open requests. An idle connection stays open for
+   * the grace period, because a request may be on the wire already; the answer to such a request
+   * says `Connection: close`.
    *
    * @param limitMs - The longest wait.
-   * @returns How many requests were still open at the limit.
+   * @returns The number of requests that were still open at the limit.
    */
   async drain(limitMs: number): Promise<number> {
     this.#draining = true;
     const end = performance.now() + limitMs;
-    // http.Server.close would close idle connections at once, and cut off what is on its way.
+    // http.Server.close would close idle connections at once and lose requests on the wire.
     net.Server.prototype.close.call(this.#server);
     const graceEnd = performance.now() + this.#idleGraceMs;
     while (this.#connections.size > 0 && performance.now() < end) {
       if (performance.now() >= graceEnd) this.#closeIdle();
       await sleep(DRAIN_POLL_MS);
     }
-    const open = [...this.#connections.values()].reduce((sum, { open: n }) => sum + n, 0);
+    const open = [...this.#connections.values()].reduce((sum, { openRequests: n }) => sum + n, 0);
     this.#server.closeAllConnections();
     return open;
   }
 
-  #remember(socket: Duplex): void {
-    this.#connections.set(socket, { open: 0, idleSince: performance.now() });
+  #addConnection(socket: Duplex): void {
+    this.#connections.set(socket, { openRequests: 0, idleSince: performance.now() });
     socket.once('close', () => this.#connections.delete(socket));
   }
 
   async #track(
     req: http.IncomingMessage,
     res: http.ServerResponse,
-    serve: RequestHandler,
+    handle: RequestHandler,
   ): Promise<void> {
     const connection = this.#connections.get(req.socket);
-    if (connection) connection.open += 1;
-    // Only after `close` have the last bytes been handed to the connection.
+    if (connection) connection.openRequests += 1;
+    // `close` fires after the last bytes were passed to the connection; `finish` is too early.
     res.once('close', () => {
       if (!connection) return;
-      connection.open -= 1;
+      connection.openRequests -= 1;
       connection.idleSince = performance.now();
     });
-    await serve(req, res);
+    await handle(req, res);
   }
 
   #closeIdle(): void {
     const oldest = performance.now() - this.#idleGraceMs;
-    for (const [socket, { open, idleSince }] of this.#connections) {
-      if (open === 0 && idleSince <= oldest) socket.destroy();
+    for (const [socket, { openRequests, idleSince }] of this.#connections) {
+      if (openRequests === 0 && idleSince <= oldest) socket.destroy();
     }
   }
 }
--- a/packages/daemon/src/internal/dispatcher.ts
+++ b/packages/daemon/src/internal/dispatcher.ts
@@ -17,18 +17,18 @@
 import { forward } from './forward.js';
 import { RequestError } from './problem.js';
 
-/** One request on its way, with all that decides about it. */
+/** A request in flight, with the settings that decide how it may be sent. */
 export interface RelayedRequest {
   readonly service: Service;
   readonly idempotent: boolean;
   readonly request: ForwardRequest;
-  /** On the clock of `performance.now()`. */
+  /** Milliseconds on the clock of `performance.now()`. */
   readonly deadlineAt: number;
-  /** Gives the request up: its time is over, or its caller has gone. */
+  /** Aborts the request when its deadline has passed or its caller has disconnected. */
   readonly signal: AbortSignal;
 }
 
-/** The endpoints of a service, nearest first: each list is tried when those before are full. */
+/** Returns the endpoints of a service, nearest first; a list is used if those before are full. */
 export type EndpointLookup = (service: Service) => readonly (readonly Endpoint[])[];
 
 export interface DispatcherOptions {
@@ -38,22 +38,22 @@
   readonly endpoints: EndpointLookup;
 }
 
-/** A request goes to so many endpoints at most. */
+/** A request is sent to this many endpoints at most. */
 const MAX_SENDS = 3;
 
 /**
- * A send without a sign of life for so many times the usual is taken for a silent connection, and
- * at the latest at half of the time that is left, so that another send can still be in time.
+ * A send counts as silent when it has had no answer for this many times the service's mean time,
+ * and at the latest at half of the remaining time, so that another send can meet the deadline.
  */
 const SILENCE_FACTOR = 8;
 
 const MIN_SILENCE_MS = 300;
 
-/** When to come back where there is no endpoint at all. */
+/** Retry-After in seconds when a service has no endpoint. */
 const NO_ENDPOINT_RETRY_S = 1;
 
 interface Waiter {
-  readonly passage: RelayedRequest;
+  readonly relayed: RelayedRequest;
   readonly grant: (endpoint: Endpoint) => void;
 }
 
@@ -63,7 +63,7 @@
   readonly budget: RetryBudget;
 }
 
-/** Brings requests to endpoints: waits for a slot, sends, and sends again where that is safe. */
+/** Sends requests to endpoints: waits for a slot, sends, and retries where that is safe. */
 export class Dispatcher {
   readonly #options: DispatcherOptions;
 
@@ -76,67 +76,69 @@
   }
 
   /**
-   * Sends until there is an answer, the rules forbid another send, or time is up.
+   * Sends a request until there is an answer, the rules forbid another send, or the deadline has
+   * passed.
    *
-   * Invariant: a request that is not idempotent is sent again only after a send that surely did
-   * not run. `not-run` is said only if that holds for every send: an idempotent request whose
-   * first send was lost and whose second was refused may well have run.
+   * Invariant: a request that is not idempotent is sent again only if the previous send certainly
+   * did not run. The outcome is `not-run` only if that holds for every send: an idempotent request
+   * whose first send was lost and whose second was refused may have run.
    *
-   * @returns The answer; its body is still to be read, and its slot is taken until it closes.
+   * @returns The answer. Its body is still to be read, and its slot stays in use until it closes.
    * @throws RequestError (302, 303, 304, 305)
    */
-  async send(passage: RelayedRequest): Promise<http.IncomingMessage> {
-    this.#stateOf(passage.service).budget.addRequest();
+  async send(relayed: RelayedRequest): Promise<http.IncomingMessage> {
+    this.#stateOf(relayed.service).budget.addRequest();
     const tried = new Set<string>();
     let state = requestChart.initial;
     let last: ForwardResult | undefined;
-    let endpoint: Endpoint | undefined = await this.#takeSlot(passage);
+    let endpoint: Endpoint | undefined = await this.#takeSlot(relayed);
     while (endpoint) {
       tried.add(endpoint.address);
-      last = await this.#sendOnce(passage, endpoint, tried);
+      last = await this.#sendOnce(relayed, endpoint, tried);
       if (last.type === 'answer') return last.res;
-      state = step(step(state, 'send'), SEND_EVENTS[last.type]);
-      const again = maySend(state, passage.idempotent);
-      endpoint = again ? this.#next(passage, last, tried) : undefined;
+      state = transition(transition(state, 'send'), SEND_EVENTS[last.type]);
+      const mayRetry = maySend(state, relayed.idempotent);
+      endpoint = mayRetry ? this.#nextEndpoint(relayed, last, tried) : undefined;
     }
-    throw errorOf(passage, unansweredOutcome(state), last);
+    throw errorOf(relayed, unansweredOutcome(state), last);
   }
 
-  /** Forgets endpoints that are no more, and looks whether new ones have room. */
+  /** Forgets removed endpoints, and assigns the free slots of new ones to waiting requests. */
   endpointsChanged(addresses: ReadonlySet<string>): void {
     this.#health.retain(addresses);
     this.#options.pool.retain(addresses);
-    for (const state of this.#services.values()) this.#pump(state);
+    for (const state of this.#services.values()) this.#assignSlots(state);
   }
 
-  #next(
-    passage: RelayedRequest,
+  #nextEndpoint(
+    relayed: RelayedRequest,
     result: ForwardResult,
     tried: ReadonlySet<string>,
   ): Endpoint | undefined {
-    if (passage.signal.aborted || tried.size >= MAX_SENDS) return undefined;
-    const endpoint = this.#pick(passage, tried);
+    if (relayed.signal.aborted || tried.size >= MAX_SENDS) return undefined;
+    const endpoint = this.#pick(relayed, tried);
     if (!endpoint) return undefined;
-    // What was never sent burdened nobody; all else is paid for.
-    const paid = result.type === 'not-sent' || this.#stateOf(passage.service).budget.takeToken();
-    return paid ? this.#occupy(passage.service, endpoint) : undefined;
+    // A send that never reached an endpoint cost it nothing; any other retry takes a token.
+    const permitted =
+      result.type === 'not-sent' || this.#stateOf(relayed.service).budget.takeToken();
+    return permitted ? this.#occupy(relayed.service, endpoint) : undefined;
   }
 
-  async #takeSlot(passage: RelayedRequest): Promise<Endpoint> {
-    const { service } = passage;
+  async #takeSlot(relayed: RelayedRequest): Promise<Endpoint> {
+    const { service } = relayed;
     const { queue } = this.#stateOf(service);
-    // Whoever waits already goes first.
-    const endpoint = queue.length === 0 ? this.#pick(passage, new Set()) : undefined;
+    // Requests that wait already come first.
+    const endpoint = queue.length === 0 ? this.#pick(relayed, new Set()) : undefined;
     if (endpoint) return this.#occupy(service, endpoint);
     const capacity = this.#capacityOf(service);
-    if (capacity > 0) return this.#wait(passage, capacity);
+    if (capacity > 0) return this.#wait(relayed, capacity);
     throw new RequestError('noEndpoint', `${service.name}: no endpoint`, 'not-run', {
       retryAfterS: NO_ENDPOINT_RETRY_S,
     });
   }
 
-  #wait(passage: RelayedRequest, capacity: number): Promise<Endpoint> {
-    const { service, signal, deadlineAt } = passage;
+  #wait(relayed: RelayedRequest, capacity: number): Promise<Endpoint> {
+    const { service, signal, deadlineAt } = relayed;
     const { queue } = this.#stateOf(service);
     return new Promise((resolve, reject) => {
       const refuse = (retryAfterS: number): void => {
@@ -145,7 +147,7 @@
       };
       let timer: NodeJS.Timeout | undefined;
       const waiter: Waiter = {
-        passage,
+        relayed,
         grant: (endpoint) => {
           clearTimeout(timer);
           resolve(endpoint);
@@ -158,25 +160,25 @@
         return;
       }
       this.#options.metrics.setWaiting(service.name, queue.length);
-      const leave = (): void => {
+      const abandon = (): void => {
         clearTimeout(timer);
         queue.remove(waiter);
         this.#options.metrics.setWaiting(service.name, queue.length);
         refuse(queue.retryAfterS(capacity));
       };
-      timer = setTimeout(leave, admission.giveUpAt - now);
-      signal.addEventListener('abort', leave, { once: true });
+      timer = setTimeout(abandon, admission.giveUpAt - now);
+      signal.addEventListener('abort', abandon, { once: true });
     });
   }
 
-  /** Hands free slots to those who wait. */
-  #pump({ queue }: ServiceState): void {
+  /** Assigns free slots to waiting requests. */
+  #assignSlots({ queue }: ServiceState): void {
     for (let waiter = queue.peek(); waiter; waiter = queue.peek()) {
-      const endpoint = this.#pick(waiter.passage, new Set());
+      const endpoint = this.#pick(waiter.relayed, new Set());
       if (!endpoint) return;
       queue.take();
-      this.#options.metrics.setWaiting(waiter.passage.service.name, queue.length);
-      waiter.grant(this.#occupy(waiter.passage.service, endpoint));
+      this.#options.metrics.setWaiting(waiter.relayed.service.name, queue.length);
+      waiter.grant(this.#occupy(waiter.relayed.service, endpoint));
     }
   }
 
@@ -187,31 +189,31 @@
   }
 
   async #sendOnce(
-    passage: RelayedRequest,
+    relayed: RelayedRequest,
     endpoint: Endpoint,
     tried: ReadonlySet<string>,
   ): Promise<ForwardResult> {
-    const { service, request, signal } = passage;
+    const { service, request, signal } = relayed;
     const state = this.#stateOf(service);
     const pooled = this.#options.pool.get(endpoint, service);
     const startedAt = performance.now();
     const send = new AbortController();
-    const giveUp = (): void => send.abort();
-    if (signal.aborted) giveUp();
-    signal.addEventListener('abort', giveUp, { once: true });
-    const unusualMs = Math.max(MIN_SILENCE_MS, SILENCE_FACTOR * (state.rate.meanMs ?? 0));
-    const watch = setTimeout(
-      () => this.#silent(passage, endpoint, tried, giveUp),
-      Math.min(unusualMs, (passage.deadlineAt - startedAt) / 2),
+    const abortSend = (): void => send.abort();
+    if (signal.aborted) abortSend();
+    signal.addEventListener('abort', abortSend, { once: true });
+    const silenceMs = Math.max(MIN_SILENCE_MS, SILENCE_FACTOR * (state.rate.meanMs ?? 0));
+    const silenceTimer = setTimeout(
+      () => this.#onSilent(relayed, endpoint, tried, abortSend),
+      Math.min(silenceMs, (relayed.deadlineAt - startedAt) / 2),
     );
     const result = await forward(pooled, endpoint.address, request, send.signal);
-    clearTimeout(watch);
+    clearTimeout(silenceTimer);
     this.#options.metrics.countSend(result.type);
-    this.#learn(endpoint, result, performance.now() - startedAt, send.signal.aborted);
+    this.#recordHealth(endpoint, result, performance.now() - startedAt, send.signal.aborted);
     const release = (): void => {
-      signal.removeEventListener('abort', giveUp);
+      signal.removeEventListener('abort', abortSend);
       pooled.inFlight -= 1;
-      this.#pump(state);
+      this.#assignSlots(state);
     };
     if (result.type === 'answer') {
       result.res.once('close', () => {
@@ -225,60 +227,60 @@
   }
 
   /**
-   * A connection without a sign of life may be silent for good. An idempotent request goes
-   * elsewhere while that has room and the budget allows; any other waits on until its deadline,
-   * since its answer may yet come and it cannot be sent again.
+   * Handles a send that has had no answer for long; its connection may be dead. An idempotent
+   * request goes to another endpoint that has a free slot, if the retry budget allows it. Any other
+   * request waits until its deadline: its answer may still come, and it cannot be sent again.
    */
-  #silent(
-    passage: RelayedRequest,
+  #onSilent(
+    relayed: RelayedRequest,
     endpoint: Endpoint,
     tried: ReadonlySet<string>,
-    giveUp: () => void,
+    abortSend: () => void,
   ): void {
     this.#health.silent(endpoint.address, performance.now());
-    const { budget } = this.#stateOf(passage.service);
-    const elsewhere =
-      passage.idempotent && tried.size < MAX_SENDS && this.#pick(passage, tried) !== undefined;
-    if (elsewhere && budget.hasToken) giveUp();
+    const { budget } = this.#stateOf(relayed.service);
+    const hasAlternative =
+      relayed.idempotent && tried.size < MAX_SENDS && this.#pick(relayed, tried) !== undefined;
+    if (hasAlternative && budget.hasToken) abortSend();
   }
 
-  #learn(endpoint: Endpoint, result: ForwardResult, ms: number, gaveUp: boolean): void {
+  #recordHealth(endpoint: Endpoint, result: ForwardResult, ms: number, wasAborted: boolean): void {
     const { address } = endpoint;
     const now = performance.now();
     if (result.type === 'answer' || result.type === 'not-run') {
       this.#health.answered(address, ms, now);
-    } else if (result.type === 'not-sent' && !gaveUp) {
+    } else if (result.type === 'not-sent' && !wasAborted) {
       this.#health.refused(address, now);
-    } else if (!gaveUp) {
+    } else if (!wasAborted) {
       this.#health.silent(address, now);
     }
   }
 
-  /** Nearest first; other data centres are looked at only when the nearest have no room. */
-  #pick(passage: RelayedRequest, tried: ReadonlySet<string>): Endpoint | undefined {
-    const groups = this.#options.endpoints(passage.service);
+  /** Picks an endpoint; other data centres are used only if the nearest have no free slot. */
+  #pick(relayed: RelayedRequest, tried: ReadonlySet<string>): Endpoint | undefined {
+    const groups = this.#options.endpoints(relayed.service);
     const now = performance.now();
     let healthy = false;
     for (const group of groups) {
-      const usable = group.filter((endpoint) => this.#isUsable(endpoint, passage.idempotent, now));
+      const usable = group.filter((endpoint) => this.#isUsable(endpoint, relayed.idempotent, now));
       healthy ||= usable.length > 0;
-      const endpoint = this.#pickOf(usable, passage, tried, now);
+      const endpoint = this.#pickFrom(usable, relayed, tried, now);
       if (endpoint) return endpoint;
     }
-    // With all ejected, one that was ejected is better than none.
-    return healthy ? undefined : this.#pickOf(groups.flat(), passage, tried, now);
+    // If all endpoints are ejected, an ejected one is better than no endpoint.
+    return healthy ? undefined : this.#pickFrom(groups.flat(), relayed, tried, now);
   }
 
-  #pickOf(
+  #pickFrom(
     endpoints: readonly Endpoint[],
     { service }: RelayedRequest,
     tried: ReadonlySet<string>,
     now: number,
   ): Endpoint | undefined {
     const { picker, pool } = this.#options;
-    const fresh =
+    const untried =
       tried.size === 0 ? endpoints : endpoints.filter(({ address }) => !tried.has(address));
-    return picker.pick(fresh, (endpoint) => ({
+    return picker.pick(untried, (endpoint) => ({
       inFlight: pool.inFlightOf(endpoint),
       limit: pool.limitOf(endpoint, service),
       latencyMs: this.#health.latencyOf(endpoint.address, now),
@@ -290,7 +292,7 @@
     return state === 'open' || (state === 'probe' && idempotent);
   }
 
-  /** The slots of the endpoints that are not ejected; of all of them where that leaves none. */
+  /** Returns the slots of all endpoints that are not ejected, or of all if every one is ejected. */
   #capacityOf(service: Service): number {
     const all = this.#options.endpoints(service).flat();
     const now = performance.now();
@@ -309,7 +311,7 @@
   }
 }
 
-function step(state: RequestState, event: RequestEvent): RequestState {
+function transition(state: RequestState, event: RequestEvent): RequestState {
   const next = requestChart.next(state, event);
   if (next === undefined) throw new Error(`request: ${event} in state ${state}`);
   return next;
--- a/packages/daemon/src/internal/endpoint-pool.ts
+++ b/packages/daemon/src/internal/endpoint-pool.ts
@@ -11,25 +11,26 @@
 
 export interface EndpointPoolOptions {
   readonly dataCentre: string;
-  /** How many entry hosts there are in all, this one included. */
+  /** The number of all entry hosts, including this one. */
   readonly entryHosts: number;
-  /** How many entry hosts of this data centre are alive, this one included. */
+  /** Returns how many entry hosts of this data centre are alive, including this one. */
   readonly localEntryHosts: () => number;
 }
 
 /**
- * Entry hosts do not know one another's load. By half more than an equal share, slots that one
- * leaves idle serve another; the rest waits at the endpoint for a moment.
+ * Entry hosts do not know each other's load. With 1.5 times an equal share, one host can use slots
+ * that another leaves idle; requests beyond the endpoint's slots wait there briefly.
  */
 const SLOT_SHARE = 1.5;
 
-/** Peers count as silent only after seconds, so this is soon enough. */
+/** Peers count as silent only after seconds, so a more frequent count would gain nothing. */
 const RECOUNT_MS = 100;
 
 /**
- * The connections of one entry host. An endpoint takes so many connections from all entry hosts
- * together; each keeps to an equal share, so the sum never exceeds it, whatever they know of
- * one another. Slots are no hard limit, and are shared by who is alive in the data centre.
+ * The connections of one entry host to endpoints. An endpoint has a hard limit of connections for
+ * all entry hosts together. Each host keeps to an equal share, so that the sum never exceeds the
+ * limit, whatever the hosts know of each other. Slots are no hard limit; they are divided among the
+ * hosts that are alive in the data centre.
  */
 export class EndpointPool {
   readonly #options: EndpointPoolOptions;
@@ -44,7 +45,7 @@
     this.#options = options;
   }
 
-  /** How many connections this entry host may open to an endpoint of the service. */
+  /** Returns how many connections this entry host may open to an endpoint of the service. */
   shareOf(service: Service): number {
     return Math.max(1, Math.floor(service.connections / this.#options.entryHosts));
   }
@@ -61,17 +62,17 @@
     return this.#pool.get(endpoint.address)?.inFlight ?? 0;
   }
 
-  /** The most requests that this entry host may have in flight at an endpoint. */
+  /** Returns how many requests this entry host may have in flight at an endpoint at most. */
   limitOf(endpoint: Endpoint, service: Service): number {
     const { dataCentre, entryHosts } = this.#options;
-    const local = endpoint.dataCentre === dataCentre;
-    const slots = local
+    const isLocal = endpoint.dataCentre === dataCentre;
+    const slots = isLocal
       ? Math.ceil((service.slots * SLOT_SHARE) / this.#countLocalHosts())
       : Math.floor(service.slots / entryHosts);
     return Math.max(1, Math.min(slots, service.slots, this.shareOf(service)));
   }
 
-  /** Counted now and then: the limit of every endpoint is asked for with each request. */
+  /** Returns a cached count: every request asks for the limit of every endpoint. */
   #countLocalHosts(): number {
     const now = performance.now();
     if (now > this.#localHostsUntil) {
@@ -81,7 +82,7 @@
     return this.#localHosts;
   }
 
-  /** Closes the connections to endpoints that are no longer in the table and have no request. */
+  /** Closes the connections to endpoints that are not listed and have no request in flight. */
   retain(addresses: ReadonlySet<string>): void {
     for (const [address, pooled] of this.#pool) {
       if (!addresses.has(address) && pooled.inFlight === 0) {
--- a/packages/daemon/src/internal/entry-headers.ts
+++ b/packages/daemon/src/internal/entry-headers.ts
@@ -1,10 +1,10 @@
 import type http from 'node:http';
 import { RequestError } from './problem.js';
 
-/** RFC 9110, section 7.6.1: these belong to one connection and are not passed on. */
+/** Headers that belong to one connection and are not forwarded (RFC 9110, section 7.6.1). */
 const HOP_BY_HOP = new Set([
   'connection',
-  // Answered here: the body is read whole before it goes on.
+  // Answered here, because the complete body is read before it is forwarded.
   'expect',
   'keep-alive',
   'proxy-connection',
@@ -14,24 +14,25 @@
   'upgrade',
 ]);
 
-/** Milliseconds the caller still gives the request. */
+/** Header with the time in milliseconds that the caller leaves for the request. */
 export const DEADLINE_HEADER = 'x-request-timeout-ms';
 
-/** `true` or `false`: the caller's word on whether the request may be sent twice. */
+/** Header by which the caller states whether the request may be sent twice: `true` or `false`. */
 export const IDEMPOTENT_HEADER = 'x-request-idempotent';
 
-/** The headers without those of the connection. */
+/** Returns the headers without those of the connection. */
 export function endToEndHeaders(headers: http.IncomingHttpHeaders): http.OutgoingHttpHeaders {
   const named = (headers.connection ?? '').split(',').map((name) => name.trim().toLowerCase());
-  const kept = Object.entries(headers).filter(
+  const endToEnd = Object.entries(headers).filter(
     ([name]) => !HOP_BY_HOP.has(name) && !named.includes(name),
   );
-  return Object.fromEntries(kept);
+  return Object.fromEntries(endToEnd);
 }
 
 /**
- * @returns The milliseconds left, or undefined where the caller names none.
- * @throws RequestError (307) where the header is no whole number above zero.
+ * Returns the time in milliseconds that the caller leaves, or undefined without the header.
+ *
+ * @throws RequestError (307) if the header is not a whole number above zero.
  */
 export function deadlineOf(headers: http.IncomingHttpHeaders): number | undefined {
   const text = headers[DEADLINE_HEADER];
@@ -45,7 +46,11 @@
   );
 }
 
-/** @throws RequestError (307) where the header is neither `true` nor `false`. */
+/**
+ * Returns whether the caller declares the request idempotent, or undefined without the header.
+ *
+ * @throws RequestError (307) if the header is neither `true` nor `false`.
+ */
 export function idempotentHeaderOf(headers: http.IncomingHttpHeaders): boolean | undefined {
   const text = headers[IDEMPOTENT_HEADER];
   if (text === undefined) return undefined;
@@ -54,16 +59,20 @@
   throw new RequestError('badRequest', `${IDEMPOTENT_HEADER}: expected true or false`, 'not-run');
 }
 
-/** The draft of the IETF's HTTPAPI group: one run for all requests that carry the same key. */
+/** Header of the IETF HTTPAPI draft: all requests with the same key are run once together. */
 export const KEY_HEADER = 'idempotency-key';
 
-/** Milliseconds since the caller first sent the key, by the caller's own monotonic clock. */
+/** Header with the milliseconds since the caller first sent the key, by its monotonic clock. */
 export const KEY_AGE_HEADER = 'x-idempotency-key-age-ms';
 
-/** Visible ASCII, bounded, because each key is kept in memory. */
+/** Visible ASCII. The length is limited because each key is kept in memory. */
 const KEY_PATTERN = /^[\x21-\x7e]{1,255}$/;
 
-/** @throws RequestError (307) where the key is empty, too long or not visible ASCII. */
+/**
+ * Returns the idempotency key, or undefined without the header.
+ *
+ * @throws RequestError (307) if the key is empty, too long or not visible ASCII.
+ */
 export function idempotencyKeyOf(headers: http.IncomingHttpHeaders): string | undefined {
   const text = headers[KEY_HEADER];
   if (text === undefined) return undefined;
@@ -72,7 +81,11 @@
   throw new RequestError('badRequest', detail, 'not-run');
 }
 
-/** @throws RequestError (307) where the header is no whole number from zero. */
+/**
+ * Returns the age of the key in milliseconds, or undefined without the header.
+ *
+ * @throws RequestError (307) if the header is not a whole number of zero or more.
+ */
 export function keyAgeOf(headers: http.IncomingHttpHeaders): number | undefined {
   const text = headers[KEY_AGE_HEADER];
   if (text === undefined) return undefined;
@@ -82,11 +95,11 @@
   throw new RequestError('badRequest', detail, 'not-run');
 }
 
-/** What a request is called on the time line: its idempotency key, else its trace, else `-`. */
+/** Returns the request's name in the timeline: its idempotency key, else its trace id, else `-`. */
 export function requestName(headers: http.IncomingHttpHeaders): string {
   const key = headers['idempotency-key'];
   if (typeof key === 'string') return key;
-  // W3C Trace Context: version, trace, parent, flags.
+  // W3C Trace Context: version, trace id, parent id, flags.
   const [, trace] = String(headers.traceparent ?? '').split('-');
   return trace ?? '-';
 }
--- a/packages/daemon/src/internal/entry-metrics.ts
+++ b/packages/daemon/src/internal/entry-metrics.ts
@@ -7,7 +7,7 @@
 
 const LATENCY_BUCKETS_S = [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10];
 
-/** What the entry role counts. */
+/** The metrics of the entry role. */
 export class EntryMetrics {
   readonly #latency: Histogram<'status'>;
 
--- a/packages/daemon/src/internal/entry-role.ts
+++ b/packages/daemon/src/internal/entry-role.ts
@@ -22,7 +22,7 @@
 import { sleep } from './sleep.js';
 
 /**
- * The role `entry`: serves callers, and is the home of its share of the idempotency keys.
+ * The role `entry`: serves callers, and is the home of a share of the idempotency keys.
  *
  * Lifecycle: construct, `listen`, `drain`, `stop`.
  */
@@ -35,14 +35,14 @@
 
   readonly #dispatcher: Dispatcher;
 
-  /** The endpoints of each service, until something about them changes. */
+  /** The endpoints of each service; cleared when any of them may have changed. */
   readonly #endpointCache = new Map<string, Endpoint[][]>();
 
   readonly #keyHome: KeyHomeTask;
 
   readonly #entry: EntryTask;
 
-  /** @param remotes - The control streams of other data centres, by their names. */
+  /** @param remotes - The control streams of other data centres, by data centre. */
   constructor(ctx: NodeContext, remotes: ReadonlyMap<string, ControlTask>) {
     this.#ctx = ctx;
     this.#remotes = remotes;
@@ -65,13 +65,13 @@
   }
 
   /**
-   * Takes no new requests, answers all that are open, and hands the keys to peers.
+   * Accepts no new requests, answers all that are open, and hands over the keys to peers.
    *
-   * @returns How many requests were still open at the limit.
+   * @returns The number of requests that were still open at the limit.
    */
   async drain(): Promise<number> {
     const left = await this.#entry.drain(this.#ctx.settings.drainMs);
-    await this.#handKeys();
+    await this.#handOverKeys();
     return left;
   }
 
@@ -90,24 +90,24 @@
     this.#ctx.events.emit('info', 'key-home-opened', { predecessor: predecessor.type });
   }
 
-  async #handKeys(): Promise<void> {
+  async #handOverKeys(): Promise<void> {
     const { nodeId, drainMs } = this.#ctx.settings;
-    // Peers bring keyed requests up to here; what runs is answered.
+    // Peers may forward keyed requests until now; those that run are still answered.
     this.#keyHome.drain();
     await Promise.race([this.#keyHome.whenIdle(), sleep(drainMs)]);
     const { incarnation } = this.#ctx;
     await this.#ctx.peers.handOverKeys({ nodeId, incarnation, ...this.#keyHome.export() });
   }
 
-  /** Forgets which endpoints there are, and closes connections to those that are gone. */
+  /** Discards the cached endpoints, and closes connections to those that were removed. */
   endpointsChanged(): void {
     this.#endpointCache.clear();
     const services = this.#ctx.manifest.manifest$.value?.services ?? [];
-    const endpoints = services.flatMap((service) => this.#endpoints(service).flat());
+    const endpoints = services.flatMap((service) => this.#endpointsOf(service).flat());
     this.#dispatcher.endpointsChanged(new Set(endpoints.map(({ address }) => address)));
   }
 
-  #endpoints(service: Service): Endpoint[][] {
+  #endpointsOf(service: Service): Endpoint[][] {
     const known = this.#endpointCache.get(service.name);
     if (known) return known;
     const leaving = this.#ctx.hostList.leaving();
@@ -140,7 +140,7 @@
       metrics,
       pool: this.#endpointPool,
       picker: makePicker(picker, seededRandom(seed)),
-      endpoints: (service) => this.#endpoints(service),
+      endpoints: (service) => this.#endpointsOf(service),
     });
   }
 
@@ -174,7 +174,7 @@
     });
   }
 
-  /** All entry hosts by the settings, whether they are alive or not. */
+  /** Returns all entry hosts in the settings, whether they are alive or not. */
   #entryHosts(): EntryHost[] {
     const { nodeId, dataCentre, peers, entryHosts } = this.#ctx.settings;
     const all = [{ nodeId, dataCentre }, ...peers];
--- a/packages/daemon/src/internal/entry-task.ts
+++ b/packages/daemon/src/internal/entry-task.ts
@@ -26,13 +26,13 @@
   readonly dispatcher: Dispatcher;
   readonly keyed: KeyedRequests;
   readonly manifest: () => Manifest | undefined;
-  /** How long a drain waits for a request on an idle connection, in milliseconds. */
+  /** Time in milliseconds that a drain waits for a request on an idle connection. */
   readonly drainIdleMs: number;
 }
 
 const METHODS_WITHOUT_BODY = new Set(['GET', 'HEAD']);
 
-/** Serves callers: finds the endpoint, forwards, and gives the whole answer or an error. */
+/** Serves callers: forwards each request to an endpoint, returns a complete answer or an error. */
 export class EntryTask {
   readonly #options: EntryOptions;
 
@@ -48,10 +48,10 @@
   }
 
   /**
-   * Takes no new connections, answers all that is open, then returns.
+   * Accepts no new connections, answers all open requests, then returns.
    *
    * @param limitMs - The longest wait.
-   * @returns How many requests were still open at the limit.
+   * @returns The number of requests that were still open at the limit.
    */
   drain(limitMs: number): Promise<number> {
     return this.#listener.drain(limitMs);
@@ -77,13 +77,13 @@
     this.#options.metrics.countRefusal(code);
     const request = requestName(req.headers);
     this.#options.events.emit('debug', 'request-refused', { request, code, name, reason });
-    // The rest of a body that was not read would be taken for the next request.
+    // On a kept connection, the unread rest of a body would be parsed as the next request.
     const headers = req.complete ? this.#connectionHeaders() : { connection: 'close' };
     req.resume();
     sendProblem(res, coded, headers);
   }
 
-  /** A caller that keeps its connection would send its next request to a host that is going. */
+  /** While draining, tells callers to send their next request on another connection. */
   #connectionHeaders(): http.OutgoingHttpHeaders {
     return this.#listener.draining ? { connection: 'close' } : {};
   }
@@ -93,24 +93,24 @@
     res: http.ServerResponse,
     lifetime: RequestLifetime,
   ): Promise<void> {
-    const passage = await this.#passageOf(req, lifetime);
-    const key = passage.idempotent ? undefined : idempotencyKeyOf(req.headers);
+    const relayed = await this.#parseRequest(req, lifetime);
+    const key = relayed.idempotent ? undefined : idempotencyKeyOf(req.headers);
     if (key !== undefined) {
       const ageMs = keyAgeOf(req.headers);
-      this.#sendWhole(res, await this.#options.keyed.send({ key, ageMs }, passage));
+      this.#sendBuffered(res, await this.#options.keyed.send({ key, ageMs }, relayed));
       return;
     }
-    const upstream = await this.#options.dispatcher.send(passage);
+    const upstream = await this.#options.dispatcher.send(relayed);
     res.writeHead(upstream.statusCode ?? 502, {
       ...endToEndHeaders(upstream.headers),
       ...this.#connectionHeaders(),
     });
-    // An answer that is cut short upstream destroys the caller's connection, so that the part
-    // that came is never taken for the whole.
-    await pipeline(upstream, res, { signal: passage.signal }).catch(() => res.destroy());
+    // If the answer is cut short upstream, the caller's connection is destroyed, so that the caller
+    // never takes a partial answer for a complete one.
+    await pipeline(upstream, res, { signal: relayed.signal }).catch(() => res.destroy());
   }
 
-  #sendWhole(res: http.ServerResponse, answer: KeyedAnswer): void {
+  #sendBuffered(res: http.ServerResponse, answer: KeyedAnswer): void {
     if (answer.type !== 'answer') return;
     const body = Buffer.from(answer.body, 'base64');
     const bodiless = answer.status === 204 || answer.status === 304;
@@ -122,9 +122,12 @@
     res.end(body);
   }
 
-  async #passageOf(req: http.IncomingMessage, lifetime: RequestLifetime): Promise<RelayedRequest> {
+  async #parseRequest(
+    req: http.IncomingMessage,
+    lifetime: RequestLifetime,
+  ): Promise<RelayedRequest> {
     if (req.httpVersion !== '1.1') {
-      // In HTTP/1.0 the end of an answer may be the end of its connection, cut short or not.
+      // In HTTP/1.0 an answer may end with its connection, so a cut answer would look complete.
       throw new RequestError('badRequest', 'expected HTTP/1.1', 'not-run');
     }
     const url = req.url ?? '/';
@@ -132,26 +135,26 @@
     const manifest = this.#options.manifest();
     const service = manifest && serviceOfPath(manifest, url);
     if (!service) throw new RequestError('noSuchService', `no service at ${url}`, 'not-run');
-    const path = pathBelow(url, service.pathPrefix);
+    const path = withoutPrefix(url, service.pathPrefix);
     const idempotent = isIdempotent(service, method, path, idempotentHeaderOf(req.headers));
     const deadlineMs = deadlineOf(req.headers) ?? service.defaultDeadlineMs;
     const deadlineAt = performance.now() + deadlineMs;
     const signal = lifetime.abortAfter(deadlineMs);
     const body = await readBody(req);
     const { 'content-length': _length, ...headers } = endToEndHeaders(req.headers);
-    const framed = METHODS_WITHOUT_BODY.has(method) && body.length === 0;
+    const isBodiless = METHODS_WITHOUT_BODY.has(method) && body.length === 0;
     const request = {
       method,
       path,
-      headers: framed ? headers : { ...headers, 'content-length': String(body.length) },
+      headers: isBodiless ? headers : { ...headers, 'content-length': String(body.length) },
       body,
     };
     return { service, idempotent, request, deadlineAt, signal };
   }
 }
 
-/** The target as the endpoint sees it: `/booking?x=1` below `/booking` is `/?x=1`. */
-function pathBelow(url: string, prefix: string): string {
+/** Returns the path without the service's prefix: `/booking?x=1` under `/booking` is `/?x=1`. */
+function withoutPrefix(url: string, prefix: string): string {
   const rest = url.slice(prefix.length);
   return rest.startsWith('/') ? rest : `/${rest}`;
 }
--- a/packages/daemon/src/internal/forward.ts
+++ b/packages/daemon/src/internal/forward.ts
@@ -1,7 +1,7 @@
 import http from 'node:http';
 import type { PooledEndpoint } from './endpoint-pool.js';
 
-/** A request as it goes to an endpoint. */
+/** A request as it is sent to an endpoint. */
 export interface ForwardRequest {
   readonly method: string;
   readonly path: string;
@@ -10,17 +10,17 @@
 }
 
 /**
- * What came of sending a request once.
- * - `answer`: the headers of the answer are here; its body is still to be read.
- * - `not-sent`: no byte was handed to the endpoint's socket, so it truly did not run.
- * - `not-run`: the endpoint itself says that it did not run.
- * - `lost`: bytes were handed over and no answer came: it may have run.
+ * The result of sending a request once.
+ * - `answer`: the headers of the answer have arrived; its body is still to be read.
+ * - `not-sent`: no byte was written to the endpoint's socket, so the request did not run.
+ * - `not-run`: the endpoint itself states that the request did not run.
+ * - `lost`: bytes were written and no answer came, so the request may have run.
  */
 export type ForwardResult =
   | { readonly type: 'answer'; readonly res: http.IncomingMessage }
   | { readonly type: 'not-sent' | 'not-run' | 'lost'; readonly reason: string };
 
-/** With status 503, an endpoint's word that it did not run the request. */
+/** With `true` and status 503, an endpoint states that it did not run the request. */
 export const NOT_RUN_HEADER = 'x-not-run';
 
 const SERVICE_UNAVAILABLE = 503;
@@ -32,8 +32,8 @@
 }
 
 /**
- * Whether the end of the answer shows in its framing. An answer that ends with its connection
- * looks whole wherever the endpoint dies, so it can never be passed on as whole.
+ * Returns whether the framing marks the end of the answer. An answer that ends with its connection
+ * looks complete even if the endpoint died half-way, so it must not be passed on as complete.
  */
 function isFramed(method: string, res: http.IncomingMessage): boolean {
   if (method === 'HEAD' || BODILESS_STATUSES.has(res.statusCode ?? 0)) return true;
@@ -54,13 +54,13 @@
 /**
  * Sends the request over one of this entry host's connections to the endpoint.
  *
- * Invariant: `not-sent` is said only where the request never had a connected socket. A socket
- * that is connected, also one that is used again, takes the bytes at once, and from then on
- * nobody here can know whether the endpoint read them.
+ * Invariant: the result is `not-sent` only if the request never had a connected socket. A connected
+ * socket, new or reused, accepts the bytes at once, and from then on this host cannot know whether
+ * the endpoint read them.
  *
  * @param address - `ip:port` of the endpoint.
- * @param signal - Gives the request up and destroys its connection: a late answer on it could
- *   otherwise be taken for that of the next request.
+ * @param signal - Aborts the request and destroys its connection: a late answer on it could
+ *   otherwise be taken for the answer to the next request.
  */
 export function forward(
   pooled: PooledEndpoint,
@@ -71,24 +71,24 @@
   const [host, port] = address.split(':');
   const { method, path, headers, body } = request;
   return new Promise((resolve) => {
-    let handedOver = false;
+    let mayHaveArrived = false;
     const req = http.request({ host, port, method, path, headers, agent: pooled.agent, signal });
     req.once('socket', (socket) => {
       if (socket.connecting) {
         socket.once('connect', () => {
-          handedOver = true;
+          mayHaveArrived = true;
         });
       } else {
-        handedOver = true;
+        mayHaveArrived = true;
       }
     });
     req.once('response', (res) => {
-      // Errors of the body reach whoever reads it; one that comes before must not end the process.
+      // The reader of the body gets its errors; an error before that must not end the process.
       res.on('error', () => {});
       resolve(resultOf(method, res));
     });
     req.on('error', (err) => {
-      resolve({ type: handedOver ? 'lost' : 'not-sent', reason: err.message });
+      resolve({ type: mayHaveArrived ? 'lost' : 'not-sent', reason: err.message });
     });
     req.end(body);
   });
--- a/packages/daemon/src/internal/home-history.ts
+++ b/packages/daemon/src/internal/home-history.ts
@@ -4,18 +4,18 @@
 const RETRY_PAUSE_MS = 1_000;
 
 /**
- * Who had this node's name before.
+ * The process that had this node's name before.
  * - `nobody`: this process is the first.
- * - `known`: the process that came directly before.
- * - `unknown`: there were some, but their records have expired.
+ * - `known`: the direct predecessor.
+ * - `unknown`: there were predecessors, but their records have expired.
  */
 export type Predecessor =
   | { readonly type: 'nobody' | 'unknown' }
   | { readonly type: 'known'; readonly incarnation: string };
 
 /**
- * Puts this process on record and finds out who came before it. Each process does so before it
- * runs any key, so none that ran keys can be missing. Asks until the log answers.
+ * Registers this process in the log and returns its predecessor. Each process registers before it
+ * runs any key, so every process that ran keys has a record. Retries until the log answers.
  */
 export async function registerIncarnation(
   log: PlatformLog,
@@ -27,7 +27,7 @@
     try {
       // A second copy of this record, after a lost answer, changes nothing.
       await log.append(stream, { type: 'entry-started', incarnation });
-      return await predecessorOn(log, stream, incarnation);
+      return await findPredecessor(log, stream, incarnation);
     } catch {
       await sleep(RETRY_PAUSE_MS);
     }
@@ -35,10 +35,11 @@
 }
 
 /**
- * Goes by the first record of each process: a copy may come late, after those of successors, and
- * would make a process the predecessor that ended long before.
+ * Finds the predecessor by the first record of each process. A second copy of a record may be
+ * appended late, after the records of successors, and would make a process that ended long before
+ * look like the predecessor.
  */
-async function predecessorOn(
+async function findPredecessor(
   log: PlatformLog,
   stream: string,
   incarnation: string,
@@ -51,18 +52,18 @@
     const { entries, first, next } = await log.read(stream, from, 0);
     if (first > from) complete = false;
     for (const { value } of entries) {
-      const other = (value as { readonly incarnation?: string }).incarnation ?? '';
-      if (other === incarnation) return asPredecessor(last, complete);
-      if (!seen.has(other)) last = other;
-      seen.add(other);
+      const found = (value as { readonly incarnation?: string }).incarnation ?? '';
+      if (found === incarnation) return toPredecessor(last, complete);
+      if (!seen.has(found)) last = found;
+      seen.add(found);
     }
     if (entries.length === 0) return { type: 'unknown' };
     from = next;
   }
 }
 
-function asPredecessor(last: string | undefined, complete: boolean): Predecessor {
-  // With older records expired, a late copy cannot be told from a first record.
+function toPredecessor(last: string | undefined, complete: boolean): Predecessor {
+  // Once older records have expired, a late copy cannot be distinguished from a first record.
   if (!complete) return { type: 'unknown' };
   return last === undefined ? { type: 'nobody' } : { type: 'known', incarnation: last };
 }
--- a/packages/daemon/src/internal/key-home-task.ts
+++ b/packages/daemon/src/internal/key-home-task.ts
@@ -11,7 +11,7 @@
   readonly dispatcher: Dispatcher;
   readonly metrics: EntryMetrics;
   readonly service: (name: string) => Service | undefined;
-  /** Whether this node is the home of a key, by its own settings. */
+  /** Returns whether this node is the home of a key according to its own settings. */
   readonly isHome: (key: string) => boolean;
   readonly hostsDigest: string;
   readonly windowMs: number;
@@ -19,7 +19,7 @@
 
 type Answered = Extract<KeyedAnswer, { type: 'answer' }>;
 
-/** Longer than a request may stay in the socket of a paused or slow entry host. */
+/** Upper bound of the time that a request may stay in the socket of a paused or slow entry host. */
 const MAX_DELAY_MS = 30_000;
 
 const MAX_KEYS = 50_000;
@@ -27,12 +27,12 @@
 const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
 
 /**
- * A keyed request that is at its endpoint runs on for so long after its deadline: the answer may
- * come late, and whoever sends the key again gets it.
+ * Time that a keyed request may continue at its endpoint after its deadline: a late answer is kept
+ * for repeats of the key.
  */
 const LATE_ANSWER_MS = 10_000;
 
-/** Which code tells a repeat that there is no answer for it, and what is known of the key. */
+/** Result code and outcome of the key, for each case in which a repeat gets no answer. */
 const PROBLEMS = {
   ran: ['answerNotKept', 'ran'],
   unknown: ['answerLost', 'unknown'],
@@ -40,7 +40,7 @@
   'other-request': ['keyReused', 'not-run'],
 } as const;
 
-/** The home of idempotency keys: runs each at most once, and remembers how that ended. */
+/** The home of idempotency keys: runs each key at most once and remembers the outcome. */
 export class KeyHomeTask {
   readonly #options: KeyHomeOptions;
 
@@ -64,13 +64,14 @@
   }
 
   /**
-   * Opens the home once this process is on record.
+   * Opens the home once this process is registered in the log.
    *
-   * Until then it runs no key: a process that ran keys without a record would be missing in the
-   * line of predecessors, and its successor would take a memory for complete that is not.
+   * Until then it runs no key: a process that ran keys without being registered would be missing
+   * from the list of predecessors, and its successor would take an incomplete memory for a complete
+   * one.
    *
-   * @param memory - What the predecessor handed on; `nobody` where there never was one; undefined
-   *   where its memory is lost.
+   * @param memory - The memory of the predecessor; `nobody` if there never was a predecessor;
+   *   undefined if its memory is lost.
    */
   open(memory: StoredKeyMemory | 'nobody' | undefined): void {
     if (memory === 'nobody') this.#table.assumeNoEarlierHome();
@@ -78,17 +79,17 @@
     this.#opened = true;
   }
 
-  /** What the successor has to know; only after `drain` and `whenIdle`. */
+  /** Returns the memory for the successor. Call it only after `drain` and `whenIdle`. */
   export(): KeyMemory {
     return this.#table.export(performance.now());
   }
 
-  /** Starts no more runs; repeats of those that run still get their answers. */
+  /** Starts no more runs; repeats of running keys still get their answers. */
   drain(): void {
     this.#draining = true;
   }
 
-  /** Settles when nothing runs any more. */
+  /** Resolves when no key is running. */
   async whenIdle(): Promise<void> {
     await Promise.all(this.#running.values());
   }
@@ -108,7 +109,7 @@
 
   #refusalOf({ key, hostsDigest, service }: KeyedRequest): KeyedAnswer | undefined {
     const { isHome } = this.#options;
-    // Two lists of entry hosts give a key two homes, and each would run it once.
+    // With different lists of entry hosts a key has two homes, and each would run it once.
     if (hostsDigest !== this.#options.hostsDigest || !isHome(key)) {
       const detail = 'the entry hosts were set up with different lists of one another';
       return problem('keyHomeUnreachable', detail, 'unknown', true);
@@ -126,22 +127,22 @@
     this.#running.set(name, run);
   }
 
-  /** Waits for the one run, as long as this caller's own deadline allows. */
+  /** Waits for the run of the key, up to this caller's own deadline. */
   async #join(call: KeyedRequest): Promise<KeyedAnswer> {
     const run = this.#running.get(nameOf(call));
     if (!run) return this.#problemOf('unknown');
     let timer: NodeJS.Timeout | undefined;
-    const late = new Promise<KeyedAnswer>((resolve) => {
+    const timeout = new Promise<KeyedAnswer>((resolve) => {
       const detail = 'the key is still running; send it again to get its answer';
-      const give = (): void => resolve(problem('deadlineExceeded', detail, 'unknown', false));
-      timer = setTimeout(give, call.leftMs);
+      const onTimeout = (): void => resolve(problem('deadlineExceeded', detail, 'unknown', false));
+      timer = setTimeout(onTimeout, call.leftMs);
     });
-    const answer = await Promise.race([run, late]);
+    const answer = await Promise.race([run, timeout]);
     clearTimeout(timer);
     return answer;
   }
 
-  /** Runs a key for its only time and takes down the end, whatever that is. */
+  /** Runs a key for the only time and records the outcome, whatever it is. */
   async #run(call: KeyedRequest): Promise<KeyedAnswer> {
     try {
       const answer = await this.#send(call);
@@ -149,12 +150,12 @@
       this.#table.end(nameOf(call), { type: 'answer', answer, bytes });
       return answer;
     } catch (err) {
-      const known = err instanceof RequestError ? err : undefined;
-      const outcome = known?.outcome ?? 'unknown';
-      this.#table.end(nameOf(call), endOf(outcome));
+      const refusal = err instanceof RequestError ? err : undefined;
+      const outcome = refusal?.outcome ?? 'unknown';
+      this.#table.end(nameOf(call), runOutcomeOf(outcome));
       const detail = err instanceof Error ? err.message : String(err);
-      const code = known?.key ?? 'answerLost';
-      return problem(code, detail, outcome, outcome === 'not-run', known?.retryAfterS);
+      const code = refusal?.key ?? 'answerLost';
+      return problem(code, detail, outcome, outcome === 'not-run', refusal?.retryAfterS);
     }
   }
 
@@ -171,12 +172,12 @@
       deadlineAt: performance.now() + leftMs,
       signal: AbortSignal.timeout(Math.ceil(leftMs) + LATE_ANSWER_MS),
     });
-    const whole = await readAnswer(res);
+    const buffered = await readAnswer(res);
     return {
       type: 'answer',
-      status: whole.status,
-      headers: endToEndHeaders(whole.headers) as Record<string, string | string[]>,
-      body: whole.body.toString('base64'),
+      status: buffered.status,
+      headers: endToEndHeaders(buffered.headers) as Record<string, string | string[]>,
+      body: buffered.body.toString('base64'),
     };
   }
 
@@ -188,13 +189,13 @@
   }
 }
 
-/** Keys of two services never meet. */
+/** Returns the name of a key in the table; it includes the service, so services share no key. */
 function nameOf({ service, key }: KeyedRequest): string {
   return `${service} ${key}`;
 }
 
-function endOf(outcome: RequestError['outcome']): RunOutcome<Answered> {
-  // An answer that was too large to keep: the key ran, and a repeat must be told so.
+function runOutcomeOf(outcome: RequestError['outcome']): RunOutcome<Answered> {
+  // The answer was too large to keep: the key ran, and a repeat must learn that.
   if (outcome === 'ran') return { type: 'ran' };
   return { type: outcome };
 }
--- a/packages/daemon/src/internal/key-memory-store.ts
+++ b/packages/daemon/src/internal/key-memory-store.ts
@@ -1,27 +1,27 @@
 import type { KeyMemorySnapshot, StoredKeyMemory } from '@redwingcrank/protocol';
 
-/** A home that is gone for longer starts with an empty memory. */
+/** A home that is down for longer starts without its predecessor's memory. */
 const KEEP_MS = 600_000;
 
-interface Kept {
+interface StoredMemory {
   readonly memory: KeyMemorySnapshot;
-  readonly at: number;
+  readonly storedAt: number;
 }
 
-/** Keeps the keys of peers that were shut down, until they are back. */
+/** Keeps the key memories of peers that shut down until they are started again. */
 export class KeyMemoryStore {
-  readonly #kept = new Map<string, Kept>();
+  readonly #memories = new Map<string, StoredMemory>();
 
   keep(memory: KeyMemorySnapshot): void {
-    this.#kept.set(memory.nodeId, { memory, at: performance.now() });
+    this.#memories.set(memory.nodeId, { memory, storedAt: performance.now() });
   }
 
-  /** Gives a node's keys away: each memory is taken over once. */
+  /** Removes and returns a node's memory, so that each memory is taken over once. */
   take(nodeId: string): StoredKeyMemory | null {
-    const kept = this.#kept.get(nodeId);
-    this.#kept.delete(nodeId);
+    const kept = this.#memories.get(nodeId);
+    this.#memories.delete(nodeId);
     if (!kept) return null;
-    const heldMs = performance.now() - kept.at;
+    const heldMs = performance.now() - kept.storedAt;
     return heldMs > KEEP_MS ? null : { memory: kept.memory, heldMs };
   }
 }
--- a/packages/daemon/src/internal/keyed-requests.ts
+++ b/packages/daemon/src/internal/keyed-requests.ts
@@ -7,39 +7,40 @@
 import type { KeyHomeTask } from './key-home-task.js';
 import { RequestError } from './problem.js';
 
-/** How a keyed request reaches its home on another node. */
+/** Sends keyed requests to their home on another node. */
 export interface KeyHomeClient {
-  /** Whether the node has been heard from before, but not of late. */
+  /** Returns whether the node has been heard before, but not within the silence limit. */
   silent(nodeId: string): boolean;
-  /** @throws Error where no answer came; its causes tell whether there was a connection. */
+  /** @throws Error if no answer came; its chain of causes shows whether there was a connection. */
   runKeyed(nodeId: string, call: KeyedRequest, signal: AbortSignal): Promise<KeyedAnswer>;
 }
 
 export interface KeyedRequestsOptions {
   readonly nodeId: string;
-  /** All entry hosts by the settings, this one included. */
+  /** All entry hosts in the settings, including this one. */
   readonly hosts: readonly EntryHost[];
   readonly home: KeyHomeTask;
   readonly homeClient: KeyHomeClient;
 }
 
-/** What the caller said about the key. */
+/** The idempotency key of a request, as the caller sent it. */
 export interface IdempotencyKey {
   readonly key: string;
   readonly ageMs: number | undefined;
 }
 
-/** A digest that differs wherever two hosts could choose different homes. */
+/** Returns a digest that differs for lists from which hosts could choose different homes. */
 export function digestOfHosts(hosts: readonly EntryHost[]): string {
   const names = hosts.map(({ nodeId, dataCentre }) => `${dataCentre}/${nodeId}`).sort();
   return createHash('sha256').update(names.join('\n')).digest('hex');
 }
 
 /**
- * Brings requests with an idempotency key to the key's home.
+ * Sends requests with an idempotency key to the home of the key.
  *
- * Invariant: only the home runs a key. Where it cannot be reached, no other host stands in:
- * none of them knows whether the home has run the key, or is running it behind a cut.
+ * Invariant: only the home runs a key. If the home is unreachable, no other host runs the key
+ * instead, because it cannot know whether the home has run it or is running it beyond a network
+ * partition.
  */
 export class KeyedRequests {
   readonly #options: KeyedRequestsOptions;
@@ -51,13 +52,13 @@
     this.#hostsDigest = digestOfHosts(options.hosts);
   }
 
-  /** @throws RequestError (305, 309 to 312, and all that an unkeyed request may get) */
-  async send({ key, ageMs }: IdempotencyKey, passage: RelayedRequest): Promise<KeyedAnswer> {
-    const { service, request, deadlineAt } = passage;
+  /** @throws RequestError (305, 309 to 312, and every code of a request without a key) */
+  async send({ key, ageMs }: IdempotencyKey, relayed: RelayedRequest): Promise<KeyedAnswer> {
+    const { service, request, deadlineAt } = relayed;
     const call: KeyedRequest = {
       key,
       ...(ageMs !== undefined && { ageMs }),
-      fingerprint: fingerprintOf(passage),
+      fingerprint: fingerprintOf(relayed),
       hostsDigest: this.#hostsDigest,
       service: service.name,
       method: request.method,
@@ -66,13 +67,13 @@
       body: request.body.toString('base64'),
       leftMs: Math.max(0, deadlineAt - performance.now()),
     };
-    const answer = await this.#atHome(call, passage.signal);
+    const answer = await this.#callHome(call, relayed.signal);
     if (answer.type === 'answer') return answer;
     const { code, detail, outcome, thisSendNotRun, retryAfterS } = answer;
     throw new RequestError(code, detail, outcome, { thisSendNotRun, retryAfterS });
   }
 
-  async #atHome(call: KeyedRequest, signal: AbortSignal): Promise<KeyedAnswer> {
+  async #callHome(call: KeyedRequest, signal: AbortSignal): Promise<KeyedAnswer> {
     const { nodeId, hosts, home, homeClient } = this.#options;
     const homeId = keyHome(call.key, hosts) ?? nodeId;
     if (homeId === nodeId) return home.answer(call);
@@ -90,8 +91,8 @@
 }
 
 /**
- * Whether a hop failed before anything was sent. The outcome is `unknown` all the same: it tells
- * of the key, which an earlier send may have run.
+ * Returns whether a call failed before anything was sent. The outcome is `unknown` even then: it
+ * describes the key, which an earlier send may have run.
  */
 function isNeverConnected(err: unknown): boolean {
   for (let cause = err; cause instanceof Error; cause = cause.cause) {
@@ -105,7 +106,10 @@
   return new RequestError('keyHomeUnreachable', detail, 'unknown', { thisSendNotRun });
 }
 
-/** Everything that makes two requests the same one, with who asks: no caller gets another's answer. */
+/**
+ * Returns a digest of all that makes two requests the same. It includes the caller's credentials,
+ * so that no caller gets the answer to another's request.
+ */
 function fingerprintOf({ service, request }: RelayedRequest): string {
   const { authorization, cookie } = request.headers as http.IncomingHttpHeaders;
   const head = JSON.stringify([service.name, request.method, request.path, authorization, cookie]);
--- a/packages/daemon/src/internal/problem.ts
+++ b/packages/daemon/src/internal/problem.ts
@@ -3,16 +3,16 @@
 import { CodedError } from '@redwingcrank/protocol';
 
 export interface RequestErrorOptions {
-  /** Whole seconds after which to come back, for refusals that may pass. */
+  /** Whole seconds after which to retry, for temporary refusals. */
   readonly retryAfterS?: number | undefined;
   /**
-   * Whether this send ran nothing. With an idempotency key `outcome` tells of the key, which an
+   * Whether this send ran nothing. With an idempotency key, `outcome` describes the key, which an
    * earlier send may have run.
    */
   readonly thisSendNotRun?: boolean | undefined;
 }
 
-/** A request that gets no answer of an endpoint. */
+/** An error for a request that gets no answer from an endpoint. */
 export class RequestError extends CodedError {
   readonly retryAfterS: number | undefined;
 
@@ -37,8 +37,8 @@
 }
 
 /**
- * Answers a request with an RFC 9457 problem: the numbered code, what is known of the work, and
- * when to come back.
+ * Answers a request with an RFC 9457 problem: the numbered code, the outcome of the request, and
+ * when to retry.
  */
 export function sendProblem(
   res: http.ServerResponse,
@@ -46,7 +46,7 @@
   headers: http.OutgoingHttpHeaders,
 ): void {
   if (res.headersSent) {
-    // Part of an answer is out: cutting the connection is the only way to say it is not whole.
+    // Part of an answer is sent: only destroying the connection shows that it is incomplete.
     res.destroy();
     return;
   }
--- a/packages/daemon/src/internal/request-body.ts
+++ b/packages/daemon/src/internal/request-body.ts
@@ -4,7 +4,7 @@
 const MAX_BODY_BYTES = 1024 * 1024;
 
 /**
- * Reads the whole body, so that nothing is sent to an endpoint before all of it is here.
+ * Reads the complete body, so that no endpoint receives a request whose body is cut off.
  *
  * @throws RequestError (306, 307) with `not-run`.
  */
@@ -12,15 +12,17 @@
   return new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
     let size = 0;
-    // Events, because leaving an iterator early destroys the connection before the refusal is out.
+    // Events, because leaving an async iterator early would destroy the connection before the
+    // refusal is sent.
     req.on('data', (chunk: Buffer) => {
       size += chunk.length;
       if (size <= MAX_BODY_BYTES) chunks.push(chunk);
       else reject(new RequestError('requestTooLarge', `over ${MAX_BODY_BYTES} bytes`, 'not-run'));
     });
     req.once('end', () => resolve(Buffer.concat(chunks)));
-    const cut = (): void => reject(new RequestError('badRequest', 'the body was cut', 'not-run'));
-    req.once('error', cut);
-    req.once('close', cut);
+    const rejectCut = (): void =>
+      reject(new RequestError('badRequest', 'the body was cut', 'not-run'));
+    req.once('error', rejectCut);
+    req.once('close', rejectCut);
   });
 }
--- a/packages/daemon/src/internal/request-lifetime.ts
+++ b/packages/daemon/src/internal/request-lifetime.ts
@@ -1,22 +1,22 @@
 import type http from 'node:http';
 
-/** Ends a request when its deadline passes or its caller goes away, whichever is first. */
+/** Aborts a request when its deadline passes or its caller disconnects, whichever is first. */
 export class RequestLifetime {
-  readonly #end = new AbortController();
+  readonly #abort = new AbortController();
 
   #timer: NodeJS.Timeout | undefined;
 
   constructor(res: http.ServerResponse) {
     res.once('close', () => {
       clearTimeout(this.#timer);
-      // A caller that went away must not keep a slot of an endpoint.
-      if (!res.writableFinished) this.#end.abort();
+      // A request of a disconnected caller must not keep a slot of an endpoint.
+      if (!res.writableFinished) this.#abort.abort();
     });
   }
 
-  /** @returns A signal that fires after so many milliseconds, or when the caller is gone. */
+  /** Returns a signal that fires after the given milliseconds or when the caller disconnects. */
   abortAfter(ms: number): AbortSignal {
-    this.#timer = setTimeout(() => this.#end.abort(), ms);
-    return this.#end.signal;
+    this.#timer = setTimeout(() => this.#abort.abort(), ms);
+    return this.#abort.signal;
   }
 }
