--- a/packages/daemon/src/internal/lease-keeper.ts
+++ b/packages/daemon/src/internal/lease-keeper.ts
@@ -11,19 +11,19 @@
   readonly events: EventLog;
   readonly leaseMs: number;
   readonly manifest: () => Manifest | undefined;
-  /** Whether this node looks after a host at present. */
+  /** Returns whether this node is responsible for a host at present. */
   readonly responsible: (hostId: string) => boolean;
 }
 
-/** So many rounds fit into a lease: two may fail without a task being lost. */
+/** Rounds per lease duration; two rounds may fail without a task being lost. */
 const ROUNDS_PER_LEASE = 5;
 
 type Call = () => Promise<WorkerReport>;
 
 /**
- * Brings workers to what the control stream says: starts what is bound, renews what runs, stops
- * what is revoked. It acts on the fold alone, so a decision takes effect only after it was read
- * back from the log. Every act is idempotent, so two nodes that do the same do no harm.
+ * Reconciles workers with the control stream: starts bound attempts, renews running ones and stops
+ * revoked ones. It acts on the fold alone, so a decision takes effect only after it was read back
+ * from the log. Every command is idempotent, so two nodes may send the same one.
  */
 export class LeaseKeeper {
   readonly #options: LeaseKeeperOptions;
@@ -34,21 +34,21 @@
 
   #stopped = false;
 
-  /** Reports as workers gave them. */
+  /** The reports of workers, unchanged. */
   readonly reports$ = new Subject<PolledReport>();
 
   constructor(options: LeaseKeeperOptions) {
     this.#options = options;
   }
 
-  /** The hosts whose workers did not answer this node the last time. */
+  /** The hosts whose workers did not answer this node's last call. */
   get unreachable(): ReadonlySet<string> {
     return this.#unreachable;
   }
 
   async start(): Promise<void> {
     while (!this.#stopped) {
-      this.#tendAll(() => true);
+      this.#reconcileHosts(() => true);
       await sleep(this.#options.leaseMs / ROUNDS_PER_LEASE);
     }
   }
@@ -58,39 +58,41 @@
   }
 
   /**
-   * Looks at once after the hosts on which something is to be started or stopped, and after those
-   * whose worker was never heard: nothing starts there before.
+   * Reconciles at once the hosts that have an attempt to start or stop, and those whose worker has
+   * never reported: nothing is started there before its first report.
    */
   reconcileChanged(): void {
     const { tasks } = this.#options.control.fold;
-    const isOpen = (taskId: string): boolean => {
+    const isPending = (taskId: string): boolean => {
       const state = tasks.get(taskId)?.state;
       return state === 'bound' || state === 'revoked';
     };
-    this.#tendAll((host) => host.incarnation === undefined || [...host.tasks].some(isOpen));
+    this.#reconcileHosts(
+      (host) => host.incarnation === undefined || [...host.tasks].some(isPending),
+    );
   }
 
-  #tendAll(wanted: (host: HostState) => boolean): void {
+  #reconcileHosts(selects: (host: HostState) => boolean): void {
     for (const host of this.#options.control.fold.hosts.values()) {
-      const open = host.state !== 'gone' || host.tasks.size > 0;
-      if (open && wanted(host) && this.#mine(host.hostId)) this.#tend(host);
+      const inUse = host.state !== 'gone' || host.tasks.size > 0;
+      if (inUse && selects(host) && this.#isResponsible(host.hostId)) this.#reconcile(host);
     }
   }
 
-  /** A host that does not answer is handed to another node, but is tried on. */
-  #mine(hostId: string): boolean {
+  /** Another node becomes responsible for a silent host, but this node keeps trying it as well. */
+  #isResponsible(hostId: string): boolean {
     return this.#unreachable.has(hostId) || this.#options.responsible(hostId);
   }
 
-  async #tend(host: HostState): Promise<void> {
-    // A worker that answers slowly must not be asked again meanwhile.
+  async #reconcile(host: HostState): Promise<void> {
+    // A worker that answers slowly must not get another call before it has answered.
     if (this.#busy.has(host.hostId)) return;
     this.#busy.add(host.hostId);
     try {
-      const report = await this.#ask(() => this.#options.workers.report(host.address));
-      // Judged after the report has come: its heartbeat is older than what is known here.
-      const acts = [...this.#options.control.commandsFor(report, performance.now())];
-      for (const call of this.#calls(host, report, acts)) await this.#ask(call);
+      const report = await this.#callWorker(() => this.#options.workers.report(host.address));
+      // Commands are chosen after the report has arrived, so its heartbeat is older than the fold.
+      const commands = [...this.#options.control.commandsFor(report, performance.now())];
+      for (const call of this.#callsFor(host, report, commands)) await this.#callWorker(call);
       this.#unreachable.delete(host.hostId);
     } catch (err) {
       this.#unreachable.add(host.hostId);
@@ -101,26 +103,30 @@
     }
   }
 
-  async #ask(call: Call): Promise<WorkerReport> {
-    // Taken before the call: the answer shows the worker as it was after this record.
+  async #callWorker(call: Call): Promise<WorkerReport> {
+    // Read before the call: the report shows the worker as it was after this record.
     const askedOffset = this.#options.control.fold.offset;
     const report = await call();
     this.reports$.next({ askedOffset, report });
     return report;
   }
 
-  /** Renewals go first: what ends or starts may take its time. */
-  *#calls(host: HostState, report: WorkerReport, acts: readonly WorkerCommand[]): Generator<Call> {
+  /** Yields the calls to a worker, renewals first, because stops and starts may take long. */
+  *#callsFor(
+    host: HostState,
+    report: WorkerReport,
+    commands: readonly WorkerCommand[],
+  ): Generator<Call> {
     const { workers, leaseMs } = this.#options;
     const { address } = host;
     const { heartbeat, incarnation } = report;
-    const attempts = acts
+    const attempts = commands
       .filter(({ type }) => type === 'renew')
       .map(({ task: { taskId, attempt } }) => ({ taskId, attempt }));
     if (attempts.length > 0) {
       yield () => workers.renew(address, { incarnation, heartbeat, leaseMs, attempts });
     }
-    for (const { type, task } of acts) {
+    for (const { type, task } of commands) {
       const ref = { taskId: task.taskId, attempt: task.attempt };
       if (type === 'checkpoint') yield () => workers.checkpoint(address, ref);
       if (type === 'stop') yield () => workers.stop(address, ref);
--- a/packages/daemon/src/internal/peer-router.ts
+++ b/packages/daemon/src/internal/peer-router.ts
@@ -17,26 +17,26 @@
   keyedRequestSchema,
 } from '@redwingcrank/protocol';
 
-/** What a node does for its peers. */
+/** The operations that a node offers its peers. */
 export interface PeerService {
-  /** Takes note of a peer and answers with this node's own state. */
+  /** Records a peer's state and returns this node's own. */
   hello(from: Hello): Hello;
-  /** Takes a worker's report that a peer fetched. */
+  /** Accepts a worker's report that a peer fetched. */
   workerReport(asked: PolledReport): void;
-  /** Runs a request whose key has its home on this node, or tells how that ended. */
+  /** Runs a request whose key has its home on this node, or returns an earlier run's outcome. */
   runKeyed(call: KeyedRequest): Promise<KeyedAnswer>;
-  /** Keeps the keys of a peer that shuts down. */
+  /** Stores the key memory of a peer that shuts down. */
   keepKeys(memory: KeyMemorySnapshot): void;
-  /** Gives a peer that is back the keys that were kept for it. */
+  /** Returns the stored key memory to a peer that has restarted. */
   takeKeys(nodeId: string): StoredKeyMemory | null;
-  /** The state this node has of a stream, or undefined where it has none to rely on. */
+  /** Returns this node's state of a stream, or undefined if it has no complete state. */
   streamState(stream: string): object | undefined;
 }
 
-/** Makes the tRPC router through which nodes talk to one another. */
+/** Creates the tRPC router for calls between nodes. */
 export function makePeerRouter(service: PeerService) {
   const t = initTRPC.create({
-    // A peer of another release learns which field it lacks, not only that something is wrong.
+    // Name the field, so that the logs of a peer of another release show what it omits.
     errorFormatter({ shape, error }) {
       if (!(error.cause instanceof z.ZodError)) return shape;
       const faults = faultsOf(error.cause, undefined);
--- a/packages/daemon/src/internal/peer-task.ts
+++ b/packages/daemon/src/internal/peer-task.ts
@@ -25,8 +25,8 @@
 interface Peer {
   readonly setting: PeerSetting;
   readonly client: TRPCClient<PeerRouter>;
-  /** For calls that last as long as a request: they end by their own signal. */
-  readonly patient: TRPCClient<PeerRouter>;
+  /** For calls that last as long as a request; their own signal limits them. */
+  readonly longCallClient: TRPCClient<PeerRouter>;
   hello?: Hello;
   heardAt: number;
 }
@@ -34,33 +34,34 @@
 export interface PeerTaskOptions {
   readonly peers: readonly PeerSetting[];
   readonly helloMs: number;
-  /** A peer not heard for so long counts as silent. */
+  /** Time in milliseconds after which a peer that was not heard counts as silent. */
   readonly silenceMs: number;
   readonly clock: HybridClock;
-  /** What nodes show one another. */
+  /** The keys by which nodes authenticate to each other. */
   readonly keys: SharedKeys;
-  /** This node's own state, asked for at each exchange. */
+  /** Returns this node's own state; called at each exchange. */
   readonly self: () => Hello;
   /** Runs a request whose key has its home on this node. */
   readonly runKeyed: (call: KeyedRequest) => Promise<KeyedAnswer>;
-  /** This node's state of a stream, for a peer that has none or an older one. */
+  /** Returns this node's state of a stream, for a peer that has none or an older one. */
   readonly streamState: (stream: string) => object | undefined;
 }
 
-const KEEPERS = 2;
+/** One replica survives if a peer that stores the memory is replaced as well. */
+const KEY_MEMORY_REPLICAS = 2;
 
-/** Longer than the other's pause with its round trip, and short beside the limit of silence. */
-const SECOND_SPEAKER_FACTOR = 1.5;
+/** Longer than the other node's pause plus a round trip, and well below the silence limit. */
+const RESPONDER_PAUSE_FACTOR = 1.5;
 
 const STOP_GRACE_MS = 300;
 
-const CLOSE = { connection: 'close' };
+const CLOSE_CONNECTION = { connection: 'close' };
 
 const PEER_BODY_LIMIT = 4 * 1024 * 1024;
 
 /**
- * Talks with the other nodes: state goes both ways in each exchange. Silence is measured on this
- * process's own monotonic clock, so no two clocks are ever compared.
+ * Exchanges state with the other nodes, in both directions at once. Silence is measured on this
+ * process's own monotonic clock, so the clocks of two nodes are never compared.
  */
 export class PeerTask {
   readonly #options: PeerTaskOptions;
@@ -69,11 +70,11 @@
 
   readonly #server: http.Server;
 
-  readonly #keeper = new KeyMemoryStore();
+  readonly #keyMemories = new KeyMemoryStore();
 
   #stopped = false;
 
-  /** Worker reports that peers fetched. */
+  /** Worker reports that peers forwarded to this node. */
   readonly workerReports$ = new Subject<PolledReport>();
 
   /** Fires after each exchange. */
@@ -84,26 +85,26 @@
     this.#peers = options.peers.map((setting) => ({
       setting,
       client: connect(setting.address, options.keys, options.silenceMs),
-      patient: connect(setting.address, options.keys),
+      longCallClient: connect(setting.address, options.keys),
       heardAt: -Infinity,
     }));
     const router = makePeerRouter({
-      hello: (from) => this.#heard(from),
+      hello: (from) => this.#onHello(from),
       workerReport: (asked) => this.workerReports$.next(asked),
       runKeyed: (call) => options.runKeyed(call),
-      keepKeys: (memory) => this.#keeper.keep(memory),
-      takeKeys: (nodeId) => this.#keeper.take(nodeId),
+      keepKeys: (memory) => this.#keyMemories.keep(memory),
+      takeKeys: (nodeId) => this.#keyMemories.take(nodeId),
       streamState: options.streamState,
     });
     const handler = createHTTPHandler({ router, maxBodySize: PEER_BODY_LIMIT });
     this.#server = http.createServer(LISTENER_LIMITS, (req, res) => {
       if (options.keys.accepts(req.headers.authorization)) handler(req, res);
-      // The body of a stranger is not read: its connection cannot be used again.
-      else sendProblem(res, new CodedError('unauthorized', 'expected a key'), CLOSE);
+      // The body of an unauthorized request is not read, so its connection cannot be reused.
+      else sendProblem(res, new CodedError('unauthorized', 'expected a key'), CLOSE_CONNECTION);
     });
   }
 
-  /** The peers that were heard in time and are not shutting down. */
+  /** Returns the peers that were heard within the silence limit and are not shutting down. */
   alive(): readonly Hello[] {
     const oldest = performance.now() - this.#options.silenceMs;
     return this.#peers
@@ -127,7 +128,7 @@
     for (const peer of this.#peers) this.#exchange(peer);
   }
 
-  /** Ends the exchanges; answers on their way to peers get a moment to go out. */
+  /** Ends the exchanges. Answers to peers in flight get a grace period to complete. */
   async stop(): Promise<void> {
     this.#stopped = true;
     const closed = new Promise<void>((resolve) => {
@@ -137,56 +138,56 @@
     this.#server.closeAllConnections();
   }
 
-  /** Tells every peer at once, without waiting for the next exchange. */
+  /** Sends this node's state to every peer at once, without waiting for the next exchange. */
   async announce(): Promise<void> {
     await Promise.all(this.#peers.map((peer) => this.#sayHello(peer)));
   }
 
-  /** Hands a worker's report to the node that decides about its data centre. */
+  /** Forwards a worker's report to the node that holds the data centre. */
   async sendReport(nodeId: string, asked: PolledReport): Promise<void> {
     const peer = this.#peers.find((p) => p.setting.nodeId === nodeId);
-    // A lost report is made good by the next one.
+    // The next report makes up for a lost one.
     await peer?.client.workerReport.mutate(asked).catch(() => undefined);
   }
 
-  /** Whether a node was heard once, but not of late. */
+  /** Returns whether a node was heard before, but not within the silence limit. */
   silent(nodeId: string): boolean {
     const peer = this.#peers.find((p) => p.setting.nodeId === nodeId);
     const silentMs = performance.now() - (peer?.heardAt ?? 0);
     return peer?.hello !== undefined && silentMs > this.#options.silenceMs;
   }
 
-  /** Gives peers this node's keys to keep: two, in case that one is replaced as well. */
+  /** Hands this node's key memory to two peers, in case one of them is replaced as well. */
   async handOverKeys(memory: KeyMemorySnapshot): Promise<void> {
     const alive = this.alive().map(({ nodeId }) => nodeId);
-    const keepers = this.#peers
+    const replicas = this.#peers
       .filter(({ setting }) => alive.includes(setting.nodeId))
-      .slice(0, KEEPERS);
-    // A memory that cannot be handed on is lost: the successor then trusts no unknown key.
+      .slice(0, KEY_MEMORY_REPLICAS);
+    // A memory that is not handed over is lost; the successor then refuses keys it cannot know.
     await Promise.all(
-      keepers.map(({ client }) => client.keepKeys.mutate(memory).catch(() => undefined)),
+      replicas.map(({ client }) => client.keepKeys.mutate(memory).catch(() => undefined)),
     );
   }
 
-  /** Takes back the keys of this node's predecessor from whoever keeps them. */
+  /** Fetches the key memory of this node's predecessor from the peers that store it. */
   async takeKeys(nodeId: string, incarnation: string): Promise<StoredKeyMemory | undefined> {
     const found = await Promise.all(
       this.#peers.map(({ client }) => client.takeKeys.mutate(nodeId).catch(() => null)),
     );
-    return found.find((kept) => kept?.memory.incarnation === incarnation) ?? undefined;
+    return found.find((stored) => stored?.memory.incarnation === incarnation) ?? undefined;
   }
 
-  /** Brings a keyed request to its home; see KeyHomeClient. */
+  /** Sends a keyed request to its home; see KeyHomeClient. */
   async runKeyed(nodeId: string, call: KeyedRequest, signal: AbortSignal): Promise<KeyedAnswer> {
     const peer = this.#peers.find((p) => p.setting.nodeId === nodeId);
     if (!peer) throw new Error(`no address of ${nodeId}`);
-    return peer.patient.runKeyed.mutate(call, { signal });
+    return peer.longCallClient.runKeyed.mutate(call, { signal });
   }
 
-  /** Asks a peer for its state of a stream; undefined where it has none or does not answer. */
+  /** Fetches a peer's state of a stream; undefined if it has none or does not answer. */
   async fetchState(nodeId: string, stream: string): Promise<unknown> {
     const peer = this.#peers.find((p) => p.setting.nodeId === nodeId);
-    // The next exchange asks again.
+    // The next exchange retries.
     return (await peer?.client.streamState.query(stream).catch(() => undefined)) ?? undefined;
   }
 
@@ -194,33 +195,34 @@
     const pauseMs = this.#pauseMs(peer);
     while (!this.#stopped) {
       const sinceHeard = performance.now() - peer.heardAt;
-      // An exchange carries both states: a peer that has just spoken need not be asked as well.
+      // An exchange carries both states, so a peer that was just heard need not be called as well.
       if (sinceHeard >= pauseMs) await this.#sayHello(peer);
-      const left = sinceHeard < pauseMs ? pauseMs - sinceHeard : pauseMs;
-      await sleep(Math.max(1, left));
+      const remainingMs = sinceHeard < pauseMs ? pauseMs - sinceHeard : pauseMs;
+      await sleep(Math.max(1, remainingMs));
     }
   }
 
   /**
-   * Of two nodes the one with the lower name speaks first, so that a pair makes one exchange and
-   * not two; the other waits longer, and speaks only where the first cannot reach it.
+   * Returns the pause between exchanges. Of two nodes, the one with the lower id calls first, so
+   * that a pair makes one exchange instead of two; the other waits longer, and calls only if the
+   * first cannot reach it.
    */
   #pauseMs(peer: Peer): number {
     const { helloMs, self } = this.#options;
-    return self().nodeId < peer.setting.nodeId ? helloMs : helloMs * SECOND_SPEAKER_FACTOR;
+    return self().nodeId < peer.setting.nodeId ? helloMs : helloMs * RESPONDER_PAUSE_FACTOR;
   }
 
   async #sayHello(peer: Peer): Promise<void> {
     try {
-      // A peer of another release may answer without a field: what is not checked here would
-      // end the process where the field is read. Such a peer counts as silent.
-      this.#heard(helloSchema.parse(await peer.client.hello.mutate(this.#options.self())));
+      // A peer of another release may omit a field; without this check, the process would fail
+      // where the field is read. Such a peer counts as silent.
+      this.#onHello(helloSchema.parse(await peer.client.hello.mutate(this.#options.self())));
     } catch {
-      // Silence is what counts; it shows in heardAt.
+      // No action: heardAt shows how long the peer has been silent.
     }
   }
 
-  #heard(hello: Hello): Hello {
+  #onHello(hello: Hello): Hello {
     this.#options.clock.observe(hello.hlc);
     const peer = this.#peers.find((p) => p.setting.nodeId === hello.nodeId);
     if (peer) {
@@ -238,7 +240,7 @@
       httpLink({
         url: `http://${address}`,
         headers: () => keys.headers(),
-        // A connection that went silent must not hold the exchange for ever.
+        // A connection that became silent must not block the exchange forever.
         fetch: (input, init) =>
           fetch(input as string, {
             ...(init as RequestInit),
--- a/packages/daemon/src/internal/scheduler-task.ts
+++ b/packages/daemon/src/internal/scheduler-task.ts
@@ -35,33 +35,33 @@
   readonly events: EventLog;
   readonly policy: PlacementPolicy;
   readonly throttler: Throttler;
-  /** What the policy learned; it lasts as long as the process. */
+  /** The measurements of the policy; kept until the process ends. */
   readonly memory: SchedulingMemory;
   readonly manifest: () => Manifest | undefined;
   readonly hosts: () => readonly ListedHost[] | undefined;
-  /** Whether this node should hold the data centre, as far as it knows. */
+  /** Returns whether this node should hold the data centre, as far as it knows. */
   readonly shouldClaim: () => boolean;
 }
 
-/** A pass lets other work run after so long: requests share the event loop. */
+/** A pass yields to the event loop after this time, because requests share the loop. */
 const SLICE_MS = 5;
 
-/** A record that should have been read back by now was lost: it is written again. */
+/** A `join` record that is not read back within this time counts as lost and is appended again. */
 const JOIN_RETRY_MS = 2_000;
 
-/** A log in trouble is not asked without end: every pass would try again. */
+/** Pause after a failed append; otherwise every pass would retry and load a failing log. */
 const APPEND_PAUSE_MS = 500;
 
 /**
- * Decides for its data centre while it holds the term. It may believe wrongly that it holds it:
- * the fold voids what it then appends.
+ * Decides for its data centre while it holds the term. It may wrongly believe that it holds the
+ * term; the fold then voids (rejects) its records.
  */
 export class SchedulerTask extends Task<SchedulerMessage> {
   readonly #options: SchedulerOptions;
 
   #unplaced: readonly Unplaced[] = [];
 
-  /** Set while an append is not yet read back; no pass runs on a state that lacks it. */
+  /** Offset of the last own record; no pass runs until the fold has reached it. */
   #awaitedOffset = -1;
 
   #joinedAt = -Infinity;
@@ -73,14 +73,14 @@
     this.#options = options;
   }
 
-  /** What the last pass could not place. */
+  /** The tasks that the last pass could not place. */
   get unplaced(): readonly Unplaced[] {
     return this.#unplaced;
   }
 
-  /** Why a task runs where it runs or does not run; undefined where nothing names it. */
+  /** Explains why a task runs on its host or does not run; undefined if the task is unknown. */
   explain(taskId: string): TaskExplanation | undefined {
-    const input = this.#input();
+    const input = this.#planInput();
     return input && explainTask(input, this.#unplaced, taskId);
   }
 
@@ -92,7 +92,7 @@
     const { control } = this.#options;
     if (message.type === 'report') {
       control.onReport(message.asked, performance.now());
-      this.#learn(message.asked.report);
+      this.#observe(message.asked.report);
       return;
     }
     if (control.fold.offset < this.#awaitedOffset) return;
@@ -104,7 +104,10 @@
     else if (this.#options.shouldClaim()) await this.#claim();
   }
 
-  /** Until its own record is folded the node acts on no worker; see LeaseExpiryTracker for why. */
+  /**
+   * Appends this node's `join` record. Until it is folded the node sends no command to a worker;
+   * see LeaseExpiryTracker for the reason.
+   */
   async #join(): Promise<void> {
     const now = performance.now();
     if (now - this.#joinedAt < JOIN_RETRY_MS) return;
@@ -130,16 +133,16 @@
     const id = randomUUID();
     const { term, batchOffset: base } = fold;
     await this.#append({ type: 'batch', id, term, holder: key, base, actions });
-    for (const action of actions) this.#tell(action);
+    for (const action of actions) this.#logAction(action);
   }
 
-  #learn(report: WorkerReport): void {
+  #observe(report: WorkerReport): void {
     const manifest = this.#options.manifest();
     const { control, memory } = this.#options;
     if (manifest) memory.colocation.observe(control.fold, manifest, report, Date.now());
   }
 
-  #input(): PlanInput | undefined {
+  #planInput(): PlanInput | undefined {
     const { dataCentre, control, policy, memory } = this.#options;
     const manifest = this.#options.manifest();
     if (!manifest) return undefined;
@@ -149,22 +152,22 @@
   }
 
   async #plan(): Promise<ControlAction[]> {
-    const input = this.#input();
+    const input = this.#planInput();
     if (!input) return [];
     const { control } = this.#options;
     const { fold } = control;
     const steps = control.decide(input, performance.now());
     const actions: ControlAction[] = [];
     const unplaced: Unplaced[] = [];
-    const before = fold.offset;
+    const startOffset = fold.offset;
     let sliceEnd = performance.now() + SLICE_MS;
     for (const step of steps) {
       if (step.type === 'action') actions.push(step.action);
       else if (step.type === 'unplaced') unplaced.push(step.unplaced);
       if (performance.now() > sliceEnd) {
         await new Promise(setImmediate);
-        // The state moved under the pass: what it found so far may contradict it.
-        if (fold.offset !== before) return [];
+        // The state changed during the pass, so the actions planned so far may contradict it.
+        if (fold.offset !== startOffset) return [];
         sliceEnd = performance.now() + SLICE_MS;
       }
     }
@@ -173,8 +176,9 @@
   }
 
   /**
-   * Where the answer is lost the record may be on the log all the same. Nothing is repeated
-   * blindly: the next pass plans anew from the fold, and the fold voids what contradicts it.
+   * Appends a record. If the answer is lost, the record may be in the log anyway. It is not
+   * repeated blindly: the next pass plans again from the fold, and the fold voids contradicting
+   * records.
    */
   async #append(record: ControlRecord): Promise<void> {
     const { log, dataCentre } = this.#options;
@@ -186,7 +190,7 @@
     }
   }
 
-  #tell(action: ControlAction): void {
+  #logAction(action: ControlAction): void {
     if (action.type === 'host') {
       this.events.emit('info', 'host-seen', { host: action.hostId, state: action.state });
       return;
--- a/packages/daemon/src/internal/scheduling-role.ts
+++ b/packages/daemon/src/internal/scheduling-role.ts
@@ -8,12 +8,12 @@
 import { registerSchedulingMetrics } from './scheduling-metrics.js';
 import { Throttler } from './throttler.js';
 
-/** Changes within this time lead to one pass: decisions go to the log in batches. */
+/** Changes within this time trigger one pass, so that decisions are appended in batches. */
 const PASS_DELAY_MS = 50;
 
 /**
- * The role `scheduler`: decides for the data centre while it holds the term, and keeps the leases
- * of its share of the workers.
+ * The role `scheduler`: decides for the data centre while it holds the term, and renews the leases
+ * on its share of the workers.
  *
  * Lifecycle: construct, `start`, `finish`, `stop`.
  */
@@ -22,8 +22,8 @@
 
   readonly #state: () => NodeState;
 
-  /** This node's part in deciding for its data centre. */
-  readonly #decider: ControlNode;
+  /** This node's view of the control stream, and whether it may decide or act on workers. */
+  readonly #controlNode: ControlNode;
 
   readonly #memory = new SchedulingMemory();
 
@@ -31,41 +31,41 @@
 
   readonly #scheduler: SchedulerTask;
 
-  /** @param state - Where the node is in its life. */
+  /** @param state - Returns the state of the node. */
   constructor(ctx: NodeContext, state: () => NodeState) {
     this.#ctx = ctx;
     this.#state = state;
-    this.#decider = this.#makeDecider();
+    this.#controlNode = this.#makeControlNode();
     this.#keeper = this.#makeKeeper();
     this.#scheduler = this.#makeScheduler();
-    registerSchedulingMetrics(ctx.registry, this.#decider);
+    registerSchedulingMetrics(ctx.registry, this.#controlNode);
   }
 
   get holds(): boolean {
     return this.#scheduler.holds;
   }
 
-  /** What the last pass could not place. */
+  /** The tasks that the last pass could not place. */
   get unplaced(): readonly Unplaced[] {
     return this.#scheduler.unplaced;
   }
 
-  /** Whether this node may act on workers. */
+  /** Whether this node may send commands to workers. */
   get tending(): boolean {
-    return this.#decider.tending(performance.now());
+    return this.#controlNode.tending(performance.now());
   }
 
-  /** Hosts whose workers did not answer this node lately. */
+  /** Hosts whose workers did not answer this node's last call. */
   get unreachable(): readonly string[] {
     return [...this.#keeper.unreachable];
   }
 
-  /** Why a task runs where it runs or does not run; undefined where nothing names it. */
+  /** Explains why a task runs on its host or does not run; undefined if the task is unknown. */
   explain(taskId: string): TaskExplanation | undefined {
     return this.#scheduler.explain(taskId);
   }
 
-  /** Waits for an append that is under way. */
+  /** Waits for an append in progress. */
   finish(): Promise<void> {
     return this.#scheduler.finish();
   }
@@ -75,9 +75,9 @@
     this.#keeper.stop();
   }
 
-  #makeDecider(): ControlNode {
+  #makeControlNode(): ControlNode {
     const { nodeId, dataCentre, leaseMs, staleMs } = this.#ctx.settings;
-    const decider = new ControlNode({
+    const controlNode = new ControlNode({
       fold: this.#ctx.control.fold,
       nodeId,
       incarnation: this.#ctx.incarnation,
@@ -85,43 +85,45 @@
       timing: { leaseMs, staleMs },
       startedAt: performance.now(),
     });
-    this.#ctx.control.folded$.subscribe((result) => decider.onFolded(result, performance.now()));
-    this.#ctx.control.restored$.subscribe(() => decider.onRestored(performance.now()));
-    this.#ctx.control.readToEnd$.subscribe((startedAt) => decider.onReadToEnd(startedAt));
+    this.#ctx.control.folded$.subscribe((result) =>
+      controlNode.onFolded(result, performance.now()),
+    );
+    this.#ctx.control.restored$.subscribe(() => controlNode.onRestored(performance.now()));
+    this.#ctx.control.readToEnd$.subscribe((startedAt) => controlNode.onReadToEnd(startedAt));
     this.#ctx.peers.hellos$.subscribe((hello) => {
-      // Offsets of another data centre's stream promise nothing here.
-      if (hello.dataCentre === dataCentre) decider.onHello({ ...hello, at: performance.now() });
+      // Offsets of another data centre's stream acknowledge nothing in this one.
+      if (hello.dataCentre === dataCentre) controlNode.onHello({ ...hello, at: performance.now() });
     });
-    return decider;
+    return controlNode;
   }
 
   #makeKeeper(): LeaseKeeper {
     const { platformTimeoutMs, leaseMs } = this.#ctx.settings;
     return new LeaseKeeper({
-      control: this.#decider,
+      control: this.#controlNode,
       workers: new HttpWorkerClient(platformTimeoutMs),
       events: this.#ctx.events,
       leaseMs,
       manifest: () => this.#ctx.manifest.manifest$.value,
-      // What this node lacks may have ended or moved an attempt that it would start.
+      // A missing record may have ended or moved an attempt that this node would start.
       responsible: (hostId) =>
-        this.#ctx.control.complete && this.#keeperOf(hostId) === this.#ctx.settings.nodeId,
+        this.#ctx.control.complete && this.#responsibleNodeOf(hostId) === this.#ctx.settings.nodeId,
     });
   }
 
-  /** The node that looks after a host: one that can reach it and may renew, where there is one. */
-  #keeperOf(hostId: string): string | undefined {
+  /** Returns the node responsible for a host: preferably one that may renew and reaches it. */
+  #responsibleNodeOf(hostId: string): string | undefined {
     const schedulers = this.#schedulers();
     const { nodeId } = this.#ctx.settings;
     const self = { nodeId, tending: this.tending, unreachable: this.unreachable };
-    const able = [self, ...this.#ctx.peers.alive()]
+    const candidates = [self, ...this.#ctx.peers.alive()]
       .filter((node) => node.tending && !node.unreachable.includes(hostId))
       .map((node) => node.nodeId)
       .filter((id) => schedulers.includes(id));
-    return rendezvous(hostId, able.length > 0 ? able : schedulers);
+    return rendezvous(hostId, candidates.length > 0 ? candidates : schedulers);
   }
 
-  /** The scheduler nodes of this data centre that are alive, this one included unless it drains. */
+  /** Returns the live scheduler nodes of this data centre, including this one unless it drains. */
   #schedulers(): string[] {
     const { nodeId, dataCentre, roles } = this.#ctx.settings;
     const peers = this.#ctx.peers
@@ -138,7 +140,7 @@
       nodeId,
       incarnation: this.#ctx.incarnation,
       dataCentre,
-      control: this.#decider,
+      control: this.#controlNode,
       log: this.#ctx.log,
       events: this.#ctx.events,
       policy: new ColocationFit(this.#ctx.control.fold, this.#memory.colocation.model),
@@ -156,7 +158,7 @@
   }
 
   #shouldClaim(): boolean {
-    // On half a state a holder would start anew what already ran.
+    // With an incomplete state a holder would start tasks again that already ran.
     if (this.#state() !== 'ready' || !this.#ctx.control.complete) return false;
     const schedulers = this.#schedulers();
     const holderNode = this.#ctx.control.fold.holder?.split('/')[0];
@@ -164,7 +166,7 @@
       holderNode !== undefined &&
       holderNode !== this.#ctx.settings.nodeId &&
       schedulers.includes(holderNode);
-    // One candidate at a time keeps races rare; that they are harmless is up to the fold.
+    // A single candidate keeps races rare; the fold makes them harmless.
     return !holderAlive && schedulers.sort()[0] === this.#ctx.settings.nodeId;
   }
 
@@ -188,11 +190,11 @@
         this.#scheduler.post({ type: 'pass' });
         this.#keeper.reconcileChanged();
       });
-    // A holder that shuts down says so: another one takes over at once.
+    // A holder announces that it shuts down, so that another node takes over at once.
     this.#ctx.peers.hellos$.subscribe((hello) => {
       if (hello.draining) this.#scheduler.post({ type: 'pass' });
     });
-    // A silent peer changes nothing by itself: the clock has to ask whether to claim.
+    // A silent peer triggers no event, so a timer checks whether to claim the term.
     setInterval(() => this.#scheduler.post({ type: 'pass' }), helloMs).unref();
     this.#keeper.start();
   }
--- a/packages/daemon/src/internal/state-gossip.ts
+++ b/packages/daemon/src/internal/state-gossip.ts
@@ -12,12 +12,13 @@
 }
 
 /**
- * Fetches from peers what the log does not give. Every exchange carries the version in force, so
- * a node that hears of a higher one takes it at once, also while it cannot reach the log. What a
- * peer has it read from the log (or had from one who did), so it is in force for everybody.
+ * Fetches stream states from peers that the log cannot provide. Every exchange carries the manifest
+ * version in force, so a node that learns of a higher version fetches it at once, even while it
+ * cannot reach the log. A peer's manifest comes from the log, directly or through other peers, so
+ * it is in force on all nodes.
  *
- * Control streams are fetched only where this node has no whole state: it started while the log
- * is down, or the log no longer has the beginning.
+ * Control streams are fetched only if this node has no complete state, because it started during an
+ * outage of the log, or because the log no longer has the beginning of the stream.
  */
 export class StateGossip {
   readonly #options: StateGossipOptions;
@@ -29,10 +30,10 @@
   }
 
   start(): void {
-    this.#options.peers.hellos$.subscribe((hello) => this.#heard(hello));
+    this.#options.peers.hellos$.subscribe((hello) => this.#onHello(hello));
   }
 
-  #heard(hello: Hello): void {
+  #onHello(hello: Hello): void {
     const { manifest, controls } = this.#options;
     if (hello.manifestVersion > manifest.version || lacksState(manifest)) {
       this.#fetch(hello.nodeId, MANIFEST_STREAM, manifest);
@@ -44,7 +45,7 @@
   }
 
   async #fetch(peer: string, stream: string, task: ManifestTask | ControlTask): Promise<void> {
-    // One answer at a time: a state may be large, and every peer offers the same one.
+    // One fetch at a time: a state may be large, and every peer offers the same one.
     if (this.#fetching.has(stream)) return;
     this.#fetching.add(stream);
     const state = await this.#options.peers.fetchState(peer, stream);
--- a/packages/daemon/src/internal/throttler.ts
+++ b/packages/daemon/src/internal/throttler.ts
@@ -11,17 +11,17 @@
 
 const SWEEP_MS = 1_000;
 
-/** A new holder does not know what the last one throttled; it finds out in bounded steps. */
+/** Limits the burst of a new holder, which does not know the shares and sends all of them. */
 const CALLS_PER_SWEEP = 50;
 
 /**
- * Holds batch tasks to the shares that were decided. A holder says each share once, also the full
- * one: what the holder before it had throttled would otherwise stay so for good.
+ * Throttles batch tasks to the shares that the policy decided. A holder sends each share once,
+ * including the full share; otherwise tasks that the previous holder throttled would stay so.
  */
 export class Throttler {
   readonly #options: ThrottlerOptions;
 
-  #told = new Map<string, number>();
+  #sentShares = new Map<string, number>();
 
   #sweptAt = -Infinity;
 
@@ -29,34 +29,34 @@
     this.#options = options;
   }
 
-  /** Tells workers of shares that changed; for the holder only. */
+  /** Sends changed shares to workers. Only the holder may call this. */
   sweep(now: number): void {
     if (now - this.#sweptAt < SWEEP_MS) return;
     this.#sweptAt = now;
-    const told = new Map<string, number>();
+    const sentShares = new Map<string, number>();
     let calls = 0;
     for (const task of this.#options.fold.tasks.values()) {
       if (task.kind === 'job' && task.state === 'running') {
         const key = `${task.taskId}#${task.attempt}`;
         const share = this.#options.colocation.shareOf(task);
-        const known = this.#told.get(key);
-        if (known !== undefined) told.set(key, known);
+        const known = this.#sentShares.get(key);
+        if (known !== undefined) sentShares.set(key, known);
         if (known !== share && calls < CALLS_PER_SWEEP) {
           calls += 1;
-          told.set(key, share);
-          this.#tell(task, key, share);
+          sentShares.set(key, share);
+          this.#send(task, key, share);
         }
       }
     }
-    this.#told = told;
+    this.#sentShares = sentShares;
   }
 
-  /** Another node holds the data centre now: what workers were told is no longer known here. */
+  /** Forgets the sent shares, since another node holds the data centre and may change them. */
   forget(): void {
-    this.#told.clear();
+    this.#sentShares.clear();
   }
 
-  async #tell(task: TaskState, key: string, share: number): Promise<void> {
+  async #send(task: TaskState, key: string, share: number): Promise<void> {
     const { taskId, attempt, hostId } = task;
     const { fold, workers, events } = this.#options;
     const address = fold.hosts.get(hostId)?.address;
@@ -65,8 +65,8 @@
       await workers.throttle(address, { taskId, attempt, share });
       if (share < 1) events.emit('info', 'attempt-throttled', { task: taskId, attempt, share });
     } catch {
-      // The call may have taken effect or not; it is idempotent, so the next sweep repeats it.
-      this.#told.delete(key);
+      // The call may have taken effect; it is idempotent, so the next sweep repeats it.
+      this.#sentShares.delete(key);
     }
   }
 }
