--- a/packages/protocol/src/admin-messages.ts
+++ b/packages/protocol/src/admin-messages.ts
@@ -95,7 +95,7 @@
 export const whyViewSchema = z.object({
   taskId: z.string(),
   nodeId: z.string(),
-  /** Whether this node holds the data centre; only its holder knows why a task waits. */
+  /** Whether this node holds the task's data centre; only the holder knows why a task waits. */
   holds: z.boolean(),
   state: z.string(),
   task: taskViewSchema.optional(),
--- a/packages/protocol/src/control-record.ts
+++ b/packages/protocol/src/control-record.ts
@@ -9,7 +9,8 @@
 
 /**
  * The proofs that an attempt has ended. `worker`: the worker reported the end. `lease`: after the
- * attempt was revoked, its lease expired and no node that could renew it is left.
+ * attempt was revoked, no node was left that could renew its lease, and the lease has expired even on
+ * the slowest clock.
  */
 export const END_PROOFS = ['worker', 'lease'] as const;
 
@@ -35,8 +36,8 @@
   checkpoint: z.string().max(200).optional(),
   /**
    * Fixed for the attempt, because two nodes with different manifests could disagree on whether
-   * renewals stop if each took it from its manifest. Defaults to `keep` for a service and to
-   * `checkpoint` for a job.
+   * renewals stop if each read it from its own manifest. If absent, `keep` applies to a service and
+   * `checkpoint` to a job.
    */
   onOutage: z.enum(ON_OUTAGE).optional(),
 });
@@ -107,7 +108,7 @@
   holder: z.string().max(100),
 });
 
-/** Several decisions in one append, because the log accepts only some hundred appends a second. */
+/** Several decisions in one append, because the log accepts only a few hundred appends per second. */
 const batchRecordSchema = z.strictObject({
   type: z.literal('batch'),
   id: z.string().max(100),
--- a/packages/protocol/src/control-snapshot.ts
+++ b/packages/protocol/src/control-snapshot.ts
@@ -28,7 +28,9 @@
   members: z
     .array(z.object({ nodeId: z.string(), incarnation: z.string(), offset: z.int() }))
     .default([]),
+  /** The offset of the last record that ended a membership; -1 before the first. */
   lastLeave: z.int().default(-1),
+  /** The offset of the last batch that took effect; -1 before the first. */
   batchOffset: z.int().default(-1),
   lostWork: z
     .object({ resumable: z.number(), afresh: z.number(), lostMs: z.number() })
--- a/packages/protocol/src/keyed-request.ts
+++ b/packages/protocol/src/keyed-request.ts
@@ -45,7 +45,7 @@
     type: z.literal('problem'),
     code: resultCodeKeySchema,
     detail: z.string(),
-    /** Whether the request has run in any send of the key, as far as is known. */
+    /** Whether any send of the key has run the request, as far as is known. */
     outcome: z.enum(['not-run', 'unknown', 'ran']),
     /** Whether this send is known not to have run the request. */
     thisSendNotRun: z.boolean(),
@@ -60,7 +60,7 @@
   nodeId: z.string(),
   /** The incarnation that ended. Only its direct successor may take over its keys. */
   incarnation: z.string(),
-  /** `keys` holds all keys of this last time span in milliseconds; null if it holds all keys. */
+  /** The length in milliseconds of the last period of which no key is missing; null if unlimited. */
   completeForMs: z.number().nullable(),
   keys: z
     .array(
--- a/packages/protocol/src/peer-messages.ts
+++ b/packages/protocol/src/peer-messages.ts
@@ -13,7 +13,7 @@
   controlOffset: z.int(),
   /** Whether the sender may renew all leases: it has joined and has read the log recently. */
   tending: z.boolean().default(true),
-  /** Hosts whose workers do not answer the sender. Another node maintains their leases. */
+  /** Hosts whose workers did not answer the sender recently. Another node maintains their leases. */
   unreachable: z.array(z.string()).max(10_000).default([]),
   hlc: z.string(),
 });
--- a/packages/protocol/src/resources.ts
+++ b/packages/protocol/src/resources.ts
@@ -31,8 +31,9 @@
 }
 
 /**
- * The tolerance of comparisons. Sums of fractional cores accumulate rounding errors, and without
- * a margin a host that is filled exactly would not accept its last task.
+ * The tolerance of comparisons. Sums of fractional cores accumulate rounding errors, so an excess of
+ * this size is not an over-commitment. Without the margin a host that is filled exactly would reject
+ * its last task.
  */
 const ROUNDING_MARGIN = 1e-6;
 
--- a/packages/protocol/src/snapshot-part.ts
+++ b/packages/protocol/src/snapshot-part.ts
@@ -2,7 +2,7 @@
 
 /**
  * The maximum number of characters of state in one part. It keeps a record well below 256 KiB even
- * if every character has to be escaped.
+ * if every character has to be escaped once.
  */
 export const MAX_SNAPSHOT_PART_CHARS = 65_536;
 
