--- a/packages/daemon/src/internal/admin-api.ts
+++ b/packages/daemon/src/internal/admin-api.ts
@@ -16,27 +16,27 @@
 import { pageOf, pageQueryOf } from './paging.js';
 import { whyReasons } from './why.js';
 
-/** What the administration API reads; it changes nothing. */
+/** The data that the read-only admin API serves. */
 export interface AdminSource {
   ready(): boolean;
   status(): StatusView;
   manifest(): Manifest | undefined;
-  /** The fold of this node's data centre. */
+  /** Returns the tasks in the fold of this node's data centre. */
   control(): TaskSource;
   hosts(): Iterable<HostView>;
-  /** Whether this node holds its data centre. */
+  /** Returns whether this node holds its data centre. */
   holds(): boolean;
-  /** Why a task runs where it runs or does not run, in the scheduler's own terms. */
+  /** Explains why a task runs on its host or does not run, in the scheduler's terms. */
   explain(taskId: string): TaskExplanation | undefined;
   events(after: string, limit: number, filter: EventFilter): readonly TimelineEvent[];
 }
 
-/** The events of a task that an answer to why gives at most. */
+/** Maximum number of events of a task in an answer of the route `why`. */
 const WHY_EVENTS = 200;
 
 type Handler = (params: URLSearchParams) => unknown;
 
-/** Answers the read-only administration API of one node. */
+/** Serves the read-only admin API of one node. */
 export class AdminApi {
   readonly #source: AdminSource;
 
@@ -46,7 +46,7 @@
 
   readonly #handlers: ReadonlyMap<string, Handler>;
 
-  /** @param keys - What operators must send for every path under /v1. */
+  /** @param keys - The keys of operators, required for every path under /v1. */
   constructor(source: AdminSource, registry: Registry, keys: SharedKeys) {
     this.#source = source;
     this.#registry = registry;
@@ -63,12 +63,16 @@
     ]);
   }
 
-  /** @throws CodedError (104 to 107) with the HTTP status of the refusal. */
+  /**
+   * Answers a request.
+   *
+   * @throws CodedError (104 to 107) with the HTTP status of the refusal.
+   */
   async answer({ method, url, headers }: JsonRequest): Promise<JsonAnswer> {
     if (method !== 'GET') throw new CodedError('readOnly', `${method} ${url.pathname}`);
     const probe = await this.#probe(url.pathname);
     if (probe) return probe;
-    // The key comes before the path: without it nobody learns which paths there are.
+    // The key is checked before the path, so that a client without a key cannot discover paths.
     if (!this.#keys.accepts(headers.authorization)) {
       throw new CodedError('unauthorized', 'authorization: expected Bearer and an accepted key');
     }
@@ -77,7 +81,7 @@
     return { status: 200, body: handler(url.searchParams) };
   }
 
-  /** What a balancer or a metrics collector asks, which hold no key. */
+  /** Answers the paths of load balancers and metrics collectors, which have no key. */
   async #probe(path: string): Promise<JsonAnswer | undefined> {
     if (path === '/healthz') return { status: 200, body: 'ok\n' };
     if (path === '/readyz') {
@@ -97,9 +101,9 @@
   #tasks(params: URLSearchParams) {
     const owner = params.get('owner');
     const host = params.get('host');
-    const wanted = (task: TaskState): boolean =>
+    const matches = (task: TaskState): boolean =>
       (owner === null || task.owner === owner) && (host === null || task.hostId === host);
-    const tasks = [...this.#source.control().tasks.values()].filter(wanted);
+    const tasks = [...this.#source.control().tasks.values()].filter(matches);
     const { items, next } = pageOf(tasks, (task) => task.taskId, pageQueryOf(params));
     return { tasks: items.map(taskView), next };
   }
@@ -141,15 +145,15 @@
 
   #events(params: URLSearchParams) {
     const { limit } = pageQueryOf(params);
-    const asked = (name: string): string | undefined => params.get(name) ?? undefined;
+    const param = (name: string): string | undefined => params.get(name) ?? undefined;
     const filter: EventFilter = {
-      task: asked('task'),
-      request: asked('request'),
-      host: asked('host'),
-      kind: asked('kind'),
+      task: param('task'),
+      request: param('request'),
+      host: param('host'),
+      kind: param('kind'),
     };
     // One more than asked for shows whether there is a next page.
-    const found = this.#source.events(asked('after') ?? '', limit + 1, filter);
+    const found = this.#source.events(param('after') ?? '', limit + 1, filter);
     const events = found.slice(0, limit);
     return { events, next: found.length > limit ? (events.at(-1)?.hlc ?? null) : null };
   }
--- a/packages/daemon/src/internal/admin-views.ts
+++ b/packages/daemon/src/internal/admin-views.ts
@@ -9,15 +9,15 @@
 import { NO_RESOURCES, addResources } from '@redwingcrank/protocol';
 import type { HostState, TaskState } from '@redwingcrank/decisions';
 
-/** The tasks of one data centre, for counting. */
+/** The tasks of one data centre. */
 export interface TaskSource {
   readonly tasks: ReadonlyMap<string, TaskState>;
   tasksOf(owner: string): ReadonlySet<string>;
 }
 
 /**
- * A task as the administration API shows it: field by field, so that what the fold keeps for
- * itself may change without changing the API.
+ * Returns a task as the admin API shows it. It is built field by field, so that internal fields of
+ * the fold may change without changing the API.
  */
 export function taskView(task: TaskState): TaskView {
   const { taskId, attempt, kind, owner, hostId, state, resources, failures } = task;
@@ -31,14 +31,14 @@
   };
 }
 
-/** The hosts as the administration API shows them. */
+/** Yields the hosts as the admin API shows them. */
 export function* hostViews(hosts: Iterable<HostState>): Generator<HostView, void> {
   for (const { hostId, rack, state, capacity, committed, tasks } of hosts) {
     yield { hostId, rack, state, capacity, committed, tasks: tasks.size };
   }
 }
 
-/** The jobs of a data centre with their tasks counted. */
+/** Yields the jobs of a data centre with the number of their tasks by state. */
 export function* jobViews(
   manifest: Manifest | undefined,
   dataCentre: string,
@@ -62,7 +62,7 @@
   }
 }
 
-/** The teams with what their tasks hold in a data centre. */
+/** Yields the teams with the resources that their active tasks use in a data centre. */
 export function* teamViews(
   manifest: Manifest | undefined,
   source: TaskSource,
@@ -70,17 +70,17 @@
   if (!manifest) return;
   const owners = [...manifest.services, ...manifest.jobs];
   const teamOf = new Map(owners.map(({ name, team }) => [name, team]));
-  const held = new Map<string, { committed: Resources; activeTasks: number }>();
+  const usageByTeam = new Map<string, { committed: Resources; activeTasks: number }>();
   for (const task of source.tasks.values()) {
     const team = teamOf.get(task.owner);
     if (team !== undefined && task.state !== 'ended') {
-      const before = held.get(team) ?? { committed: NO_RESOURCES, activeTasks: 0 };
-      const committed = addResources(before.committed, task.resources);
-      held.set(team, { committed, activeTasks: before.activeTasks + 1 });
+      const usage = usageByTeam.get(team) ?? { committed: NO_RESOURCES, activeTasks: 0 };
+      const committed = addResources(usage.committed, task.resources);
+      usageByTeam.set(team, { committed, activeTasks: usage.activeTasks + 1 });
     }
   }
   for (const { name, weight, quota } of manifest.teams) {
-    const { committed, activeTasks } = held.get(name) ?? {
+    const { committed, activeTasks } = usageByTeam.get(name) ?? {
       committed: NO_RESOURCES,
       activeTasks: 0,
     };
--- a/packages/daemon/src/internal/control-task.ts
+++ b/packages/daemon/src/internal/control-task.ts
@@ -11,19 +11,19 @@
 export class ControlTask extends StreamTask<ControlSnapshot, ApplyResult> {
   readonly dataCentre: string;
 
-  /** The state. Others read it; only this task changes it. */
+  /** The state. Only this task changes it; others read it. */
   readonly fold: ControlFold;
 
   /** Fires after each record. */
   readonly changed$ = new Subject<void>();
 
-  /** What became of each record, before the next one is folded. */
+  /** Emits the result of each record, before the next one is folded. */
   readonly folded$ = new Subject<ApplyResult>();
 
-  /** Fires after the fold was put in place as a whole. */
+  /** Fires after the complete state of the fold was replaced. */
   readonly restored$ = new Subject<void>();
 
-  /** When a read was started after which nothing was left to fold; see `performance.now()`. */
+  /** Emits the start time of each read that reached the end, once all its records are folded. */
   readonly readToEnd$ = new Subject<number>();
 
   constructor(log: PlatformLog, dataCentre: string, events: EventLog) {
--- a/packages/daemon/src/internal/event-log.ts
+++ b/packages/daemon/src/internal/event-log.ts
@@ -4,12 +4,12 @@
 import type { EventFields, EventFilter, HybridClock, TimelineEvent } from '@redwingcrank/protocol';
 import { matchesFilter } from '@redwingcrank/protocol';
 
-/** How many events a node keeps for the time line; older ones are only in the logs. */
+/** How many events a node keeps for the timeline; older events are only in the logs. */
 const KEPT_EVENTS = 5_000;
 
 export type EventLevel = 'debug' | 'info' | 'warn' | 'error';
 
-/** Events of this node: each is a log line and a point on the time line. */
+/** The events of this node. Each is written as a log line and kept for the timeline. */
 export class EventLog {
   readonly #node: string;
 
@@ -19,13 +19,13 @@
 
   readonly #logger = loglevel.getLogger('redwingcrankd');
 
-  /** Every event as it happens. */
+  /** Emits every event as it happens. */
   readonly events$ = new Subject<TimelineEvent>();
 
   constructor(node: string, clock: HybridClock, level: loglevel.LogLevelDesc) {
     this.#node = node;
     this.#clock = clock;
-    // stdout belongs to the ready line that a supervisor reads; logs go to stderr.
+    // Logs go to stderr, because stdout is reserved for the ready line that a supervisor reads.
     this.#logger.methodFactory = () => (line: string) => process.stderr.write(`${line}\n`);
     this.#logger.setLevel(level, false);
   }
@@ -42,10 +42,10 @@
     );
   }
 
-  /** The kept events after a stamp that pass the filter, oldest first. */
-  after(stamp: string, limit: number, filter: EventFilter = {}): readonly TimelineEvent[] {
+  /** Returns the kept events after a timestamp that match the filter, oldest first. */
+  after(timestamp: string, limit: number, filter: EventFilter = {}): readonly TimelineEvent[] {
     return this.#events
-      .filter((event) => event.hlc > stamp && matchesFilter(event, filter))
+      .filter((event) => event.hlc > timestamp && matchesFilter(event, filter))
       .slice(0, limit);
   }
 }
--- a/packages/daemon/src/internal/host-list-task.ts
+++ b/packages/daemon/src/internal/host-list-task.ts
@@ -9,31 +9,31 @@
   readonly source: HostListSource;
   readonly events: EventLog;
   readonly pollMs: number;
-  /** How long hosts that vanish in numbers must stay away before they count as gone. */
+  /** How long hosts that vanish in large numbers must stay away to count as removed, in ms. */
   readonly confirmMs: number;
-  /** The hosts that the control stream holds. */
+  /** Returns the hosts in the control stream. */
   readonly known: () => Iterable<ListedHost>;
 }
 
-/** Looks at the platform's host list at a steady pace. */
+/** Polls the platform's host list at a fixed interval. */
 export class HostListTask {
   readonly #options: HostListOptions;
 
-  readonly #judge: HostListFilter;
+  readonly #filter: HostListFilter;
 
-  #heldBack = 0;
+  #retainedCount = 0;
 
   #stopped = false;
 
-  /** The list as it was judged, or undefined before the first look. */
+  /** The filtered list, or undefined before the first successful poll. */
   readonly hosts$ = new BehaviorSubject<readonly ListedHost[] | undefined>(undefined);
 
   constructor(options: HostListOptions) {
     this.#options = options;
-    this.#judge = new HostListFilter(options.confirmMs);
+    this.#filter = new HostListFilter(options.confirmMs);
   }
 
-  /** Hosts that are shown as leaving. */
+  /** Returns the ids of the hosts that are listed as leaving. */
   leaving(): ReadonlySet<string> {
     const hosts = this.hosts$.value ?? [];
     return new Set(hosts.filter((h) => h.state === 'leaving').map((h) => h.hostId));
@@ -49,33 +49,33 @@
 
   async #run(): Promise<void> {
     while (!this.#stopped) {
-      await this.#look();
+      await this.#poll();
       await sleep(this.#options.pollMs);
     }
   }
 
-  async #look(): Promise<void> {
+  async #poll(): Promise<void> {
     const { source, events } = this.#options;
     try {
       const { hosts, version } = await source.list();
-      this.#take(hosts, version);
+      this.#accept(hosts, version);
     } catch (err) {
       const reason = err instanceof Error ? err.message : String(err);
       events.emit('warn', 'host-list-unavailable', { reason });
     }
   }
-  #take(hosts: readonly ListedHost[], version: number | undefined): void {
+  #accept(hosts: readonly ListedHost[], version: number | undefined): void {
     const { events, known } = this.#options;
-    const judged = this.#judge.filter(hosts, known(), performance.now(), version);
-    if (!judged) {
+    const filtered = this.#filter.filter(hosts, known(), performance.now(), version);
+    if (!filtered) {
       events.emit('warn', 'host-list-old', { version: version ?? 0 });
       return;
     }
-    const held = judged.retained.length;
-    if (held !== this.#heldBack) {
+    const held = filtered.retained.length;
+    if (held !== this.#retainedCount) {
       events.emit('warn', 'host-list-held', { held, shown: hosts.length });
-      this.#heldBack = held;
+      this.#retainedCount = held;
     }
-    this.hosts$.next(judged.hosts);
+    this.hosts$.next(filtered.hosts);
   }
 }
--- a/packages/daemon/src/internal/manifest-task.ts
+++ b/packages/daemon/src/internal/manifest-task.ts
@@ -7,7 +7,7 @@
 import type { EventLog } from './event-log.js';
 import { StreamTask } from './stream-task.js';
 
-/** Folds the manifest stream and tells the others what is in force. */
+/** Folds the manifest stream and publishes the manifest in force. */
 export class ManifestTask extends StreamTask<ManifestSnapshot, ManifestVerdict> {
   readonly #fold: ManifestFold;
 
--- a/packages/daemon/src/internal/node-context.ts
+++ b/packages/daemon/src/internal/node-context.ts
@@ -7,10 +7,10 @@
 import type { PeerTask } from './peer-task.js';
 import type { Settings } from './settings.js';
 
-/** What both roles of a node work with. */
+/** The settings and tasks that both roles of a node share. */
 export interface NodeContext {
   readonly settings: Settings;
-  /** Changes with each start of the process. */
+  /** Unique id of this process; it changes with each start. */
   readonly incarnation: string;
   readonly log: PlatformLog;
   readonly events: EventLog;
--- a/packages/daemon/src/internal/node-metrics.ts
+++ b/packages/daemon/src/internal/node-metrics.ts
@@ -3,7 +3,7 @@
 import { Counter, Gauge } from 'prom-client';
 import type { StatusView, TimelineEvent } from '@redwingcrank/protocol';
 
-/** The gauges of a node, each read from its status when metrics are collected. */
+/** Name, help text and value of each gauge; values are read from the status on collection. */
 const GAUGES: readonly (readonly [string, string, (status: StatusView) => number])[] = [
   ['ready', '1 while the node is ready', (s) => Number(s.state === 'ready')],
   ['manifest_version', 'The version in force on this node', (s) => s.manifestVersion],
@@ -13,7 +13,7 @@
   ['unplaced_tasks', 'Tasks without a place, on the holder', (s) => s.unplacedCount],
 ];
 
-/** Registers what operators watch: the node's status as gauges, and its events counted. */
+/** Registers the node's metrics: its status as gauges, and a counter of its events. */
 export function registerNodeMetrics(
   registry: Registry,
   status: () => StatusView,
--- a/packages/daemon/src/internal/node-process.ts
+++ b/packages/daemon/src/internal/node-process.ts
@@ -24,14 +24,14 @@
 import { SnapshotWriter } from './snapshot-writer.js';
 import { StateGossip } from './state-gossip.js';
 
-/** How long a node that shuts down waits for its last append, and for its peers to hear of it. */
+/** Time limits at shutdown, for the last append and for the announcement to peers. */
 const FINISH_LIMIT_MS = 500;
 const ANNOUNCE_LIMIT_MS = 1_000;
 
 const ADMIN_BODY_LIMIT = 64 * 1024;
 
-/** Status shows so many tasks without a place; why answers for each of them. */
-const SHOWN_UNPLACED = 100;
+/** How many unplaced tasks the status lists; the route `why` explains every one of them. */
+const MAX_LISTED_UNPLACED = 100;
 
 /** The ports that a node listens on. */
 export interface NodePorts {
@@ -41,7 +41,7 @@
 }
 
 /**
- * One node: builds the tasks its roles name and connects their messages.
+ * One node: creates the tasks of its roles and connects them.
  *
  * Lifecycle: construct, `start`, `drain`.
  */
@@ -129,7 +129,7 @@
     const { ip, roles } = this.#settings;
     this.#manifest.start();
     this.#control.start();
-    // The first list is measured by the hosts on the control stream: it must have been read.
+    // The first list is compared with the hosts in the control stream, which must be read before.
     this.#control.caughtUp$.pipe(first(Boolean)).subscribe(() => this.#hostList.start());
     this.#snapshots.forEach((writer) => writer.start());
     this.#followOtherDataCentres();
@@ -149,18 +149,18 @@
     return { callerPort, peerPort, adminPort };
   }
 
-  /** Hands over, answers all that is open, and closes everything. */
+  /** Hands over the node's work, answers all open requests, and closes all listeners and tasks. */
   async drain(): Promise<void> {
     const next = nodeChart.next(this.#state, 'drain');
     if (next === undefined) return;
     this.#state = next;
     this.#events.emit('info', 'node-draining');
-    // An append under way would be voided by the next holder's claim: it is let finish first. A
-    // log that does not answer must not hold up the hand-over.
+    // The next holder's claim would void an append in progress, so the node waits for it. The wait
+    // is limited, because a silent log must not delay the hand-over.
     await Promise.race([this.#scheduling.finish(), sleep(FINISH_LIMIT_MS)]);
-    // Peers learn it before the listener closes, so none hands this node anything more.
+    // Peers are notified before the listener closes, so that they send this node no more work.
     await Promise.race([this.#peers.announce(), sleep(ANNOUNCE_LIMIT_MS)]);
-    // The balancer sees `not ready` and goes elsewhere, while the listener still answers.
+    // The load balancer sees `not ready` and picks other nodes while the listener still answers.
     await sleep(this.#settings.drainNoticeMs);
     const left = await this.#entry.drain();
     this.#scheduling.stop();
@@ -196,7 +196,7 @@
     });
   }
 
-  /** The streams that this node follows, by name. */
+  /** Returns the tasks of the streams that this node follows, by stream name. */
   #streams(): Map<string, ManifestTask | ControlTask> {
     const controls = [this.#control, ...this.#remote.values()];
     const named = controls.map((task) => [controlStream(task.dataCentre), task] as const);
@@ -288,7 +288,7 @@
       controlOffset: offset,
       peers: this.#peers.alive().map((peer) => peer.nodeId),
       rejections: [...this.#manifest.rejections],
-      unplaced: unplaced.slice(0, SHOWN_UNPLACED).map((found) => ({ ...found })),
+      unplaced: unplaced.slice(0, MAX_LISTED_UNPLACED).map((found) => ({ ...found })),
       unplacedCount: unplaced.length,
     };
   }
--- a/packages/daemon/src/internal/paging.ts
+++ b/packages/daemon/src/internal/paging.ts
@@ -1,13 +1,17 @@
 import { CodedError, DEFAULT_PAGE_LIMIT, MAX_PAGE_LIMIT } from '@redwingcrank/protocol';
 
-/** What a reader asks of a list. */
+/** The page of a list that a client requests. */
 export interface PageQuery {
   readonly limit: number;
-  /** The key of the last item of the page before; empty for the first page. */
+  /** The key of the last item on the previous page; empty for the first page. */
   readonly cursor: string;
 }
 
-/** @throws CodedError (104) where the limit is no whole number in its bounds. */
+/**
+ * Parses the page parameters.
+ *
+ * @throws CodedError (104) if the limit is not a whole number within its bounds.
+ */
 export function pageQueryOf(params: URLSearchParams): PageQuery {
   const text = params.get('limit');
   const limit = text === null ? DEFAULT_PAGE_LIMIT : Number(text);
@@ -19,8 +23,8 @@
 }
 
 /**
- * The items after the cursor in the order of their keys. The cursor is a key and not a position:
- * a page that is read while items come and go neither repeats nor skips one that stays.
+ * Returns the items after the cursor in the order of their keys. The cursor is a key, not a
+ * position: while items are added and removed, no remaining item is repeated or skipped.
  */
 export function pageOf<T>(
   items: Iterable<T>,
--- a/packages/daemon/src/internal/peer-task.ts
+++ b/packages/daemon/src/internal/peer-task.ts
@@ -163,7 +163,7 @@
     const replicas = this.#peers
       .filter(({ setting }) => alive.includes(setting.nodeId))
       .slice(0, KEY_MEMORY_REPLICAS);
-    // A memory that is not handed over is lost; the successor then refuses keys it cannot know.
+    // A memory that is not handed over is lost; the successor then refuses possibly older keys.
     await Promise.all(
       replicas.map(({ client }) => client.keepKeys.mutate(memory).catch(() => undefined)),
     );
--- a/packages/daemon/src/internal/release.ts
+++ b/packages/daemon/src/internal/release.ts
@@ -2,5 +2,5 @@
 
 const { version } = createRequire(import.meta.url)('../../package.json') as { version: string };
 
-/** The version of this program. */
+/** The version in this package's `package.json`. */
 export const RELEASE = version;
--- a/packages/daemon/src/internal/settings.ts
+++ b/packages/daemon/src/internal/settings.ts
@@ -33,23 +33,23 @@
     return { nodeId, dataCentre, address };
   });
 
-/** A key that can be guessed protects nothing. */
+/** Shorter keys could be guessed. */
 const MIN_KEY_LENGTH = 16;
 
-const keys = z.array(
+const keysSchema = z.array(
   z.string().min(MIN_KEY_LENGTH, `keys of ${MIN_KEY_LENGTH} characters or more`),
 );
 
-const port = z.int().min(0).max(65_535);
+const portSchema = z.int().min(0).max(65_535);
 
 const settingsSchema = z.object({
   nodeId: z.string().regex(/^[\w-]+$/, 'letters, digits, dashes'),
   dataCentre: z.string().regex(/^[a-z0-9-]+$/, 'lower-case letters, digits, dashes'),
   roles: z.array(z.enum(ROLES)).min(1),
   ip: z.ipv4(),
-  callerPort: port,
-  peerPort: port,
-  adminPort: port,
+  callerPort: portSchema,
+  peerPort: portSchema,
+  adminPort: portSchema,
   logUrl: z.url({ protocol: /^https?$/ }),
   hostListUrl: z.url({ protocol: /^https?$/ }),
   peers: z.array(peerSchema),
@@ -72,19 +72,19 @@
   keyWindowMs: z.int().min(1_000).max(86_400_000),
   seed: z.int(),
   logLevel: z.enum(['trace', 'debug', 'info', 'warn', 'error', 'silent']),
-  peerKeys: keys,
-  adminKeys: keys,
+  peerKeys: keysSchema,
+  adminKeys: keysSchema,
   printConfig: z.boolean(),
 });
 
 const LOOPBACK = /^127\./;
 
-/** Beyond loopback anybody on the network reaches the listeners of peers and operators. */
+/** Requires keys beyond loopback, where the whole network can reach the peer and admin ports. */
 const checkedSchema = settingsSchema.superRefine((settings, ctx) => {
   if (LOOPBACK.test(settings.ip)) return;
   for (const path of ['peerKeys', 'adminKeys'] as const) {
     if (settings[path].length === 0) {
-      const message = `a key, since ${settings.ip} is not loopback`;
+      const message = `a key, because ${settings.ip} is not a loopback address`;
       ctx.addIssue({ code: 'custom', path: [path], message });
     }
   }
@@ -92,48 +92,91 @@
 
 export type Settings = z.infer<typeof settingsSchema>;
 
-/** Everything a node can be told, as flags and as REDWINGCRANK_* variables. */
+/** All settings of a node, available as flags and as REDWINGCRANK_* variables. */
 export const NODE_OPTIONS = {
   'node-id': { type: 'string', describe: 'The name of this node, unique among all nodes' },
-  'data-centre': { type: 'string', describe: 'The data centre this node is in' },
-  roles: { type: 'string', array: true, default: [...ROLES], describe: 'entry, scheduler' },
+  'data-centre': { type: 'string', describe: 'The data centre of this node' },
+  roles: {
+    type: 'string',
+    array: true,
+    default: [...ROLES],
+    describe: 'The roles of this node: entry, scheduler',
+  },
   ip: { type: 'string', default: '127.0.0.1', describe: 'The address to listen on' },
-  'caller-port': { type: 'number', default: 0, describe: 'For callers; 0 takes a free one' },
-  'peer-port': { type: 'number', default: 0, describe: 'For other nodes' },
-  'admin-port': { type: 'number', default: 0, describe: 'For operators' },
-  'log-url': { type: 'string', describe: "The platform's log" },
-  'host-list-url': { type: 'string', describe: "The platform's host list" },
-  peers: { type: 'string', array: true, default: [], describe: 'id@dataCentre=ip:port, each' },
-  'lease-ms': { type: 'number', default: 10_000, describe: 'How long a lease lasts' },
+  'caller-port': {
+    type: 'number',
+    default: 0,
+    describe: 'The port for callers; 0 picks a free port',
+  },
+  'peer-port': {
+    type: 'number',
+    default: 0,
+    describe: 'The port for other nodes; 0 picks a free port',
+  },
+  'admin-port': {
+    type: 'number',
+    default: 0,
+    describe: 'The port for operators; 0 picks a free port',
+  },
+  'log-url': { type: 'string', describe: "The URL of the platform's log" },
+  'host-list-url': { type: 'string', describe: "The URL of the platform's host list" },
+  peers: {
+    type: 'string',
+    array: true,
+    default: [],
+    describe: 'The other nodes, each as id@dataCentre=ip:port',
+  },
+  'lease-ms': { type: 'number', default: 10_000, describe: 'The duration of a lease' },
   'stale-ms': {
     type: 'number',
     default: 30_000,
-    describe: 'Without the log for so long, a node renews no task that may lapse',
+    describe:
+      'After this time without the log, a node no longer renews tasks whose lease may expire',
+  },
+  'platform-timeout-ms': {
+    type: 'number',
+    default: 2_000,
+    describe: 'The time limit for an answer of the platform',
   },
-  'platform-timeout-ms': { type: 'number', default: 2_000, describe: 'Limit for an answer' },
   'log-retention-ms': {
     type: 'number',
     default: 3_600_000,
-    describe: 'The log keeps records so long',
+    describe: 'How long the log keeps records',
+  },
+  'host-list-poll-ms': {
+    type: 'number',
+    default: 1_000,
+    describe: 'The time between two polls of the host list',
   },
-  'host-list-poll-ms': { type: 'number', default: 1_000, describe: 'Time between two looks' },
   'host-list-confirm-ms': {
     type: 'number',
     default: 30_000,
-    describe: 'When hosts that vanish in numbers count as gone',
+    describe: 'How long hosts that vanish in large numbers must stay away to count as removed',
+  },
+  'hello-ms': {
+    type: 'number',
+    default: 500,
+    describe: 'The time between two exchanges with a peer',
+  },
+  'peer-silence-ms': {
+    type: 'number',
+    default: 3_000,
+    describe: 'The time after which a peer that was not heard counts as silent',
+  },
+  'drain-ms': {
+    type: 'number',
+    default: 30_000,
+    describe: 'The longest wait for open requests at shutdown',
   },
-  'hello-ms': { type: 'number', default: 500, describe: 'Time between two exchanges with a peer' },
-  'peer-silence-ms': { type: 'number', default: 3_000, describe: 'When a peer counts as silent' },
-  'drain-ms': { type: 'number', default: 30_000, describe: 'The longest wait for open requests' },
   picker: {
     type: 'string',
     default: 'least-time',
-    describe: `Choice of endpoints: ${PICKERS.join(', ')}`,
+    describe: `The strategy that picks endpoints: ${PICKERS.join(', ')}`,
   },
   'drain-notice-ms': {
     type: 'number',
     default: 500,
-    describe: 'Time for the balancer to see not ready',
+    describe: 'The time for the load balancer to notice that the node is not ready',
   },
   'drain-idle-ms': {
     type: 'number',
@@ -144,15 +187,19 @@
     type: 'string',
     array: true,
     default: [],
-    describe: 'Ids of all nodes with role entry; every node where it is left out',
+    describe: 'The ids of all nodes with role entry; every node if omitted',
   },
   'key-window-ms': {
     type: 'number',
     default: 600_000,
-    describe: 'How long callers may send an idempotency key again',
+    describe: 'How long callers may repeat an idempotency key',
+  },
+  seed: { type: 'number', default: 1, describe: 'The seed of random choices' },
+  'log-level': {
+    type: 'string',
+    default: 'info',
+    describe: 'The log level: trace, debug, info, warn, error or silent',
   },
-  seed: { type: 'number', default: 1, describe: 'Seed of random choices' },
-  'log-level': { type: 'string', default: 'info', describe: 'trace to error, or silent' },
   'peer-keys': {
     type: 'string',
     array: true,
@@ -165,30 +212,30 @@
     array: true,
     default: [],
     secret: true,
-    describe: 'Keys of operators: all are accepted',
+    describe: 'Keys of operators; all are accepted',
   },
   'print-config': {
     type: 'boolean',
     default: false,
-    describe: 'Print what is in force and where it came from, and end',
+    describe: 'Print all settings with their sources, then exit',
   },
 } as const satisfies SettingOptions;
 
-/** One environment may hold the settings of the command line as well. */
+/** Variables of the command-line client, which may be set in the same environment. */
 const CLI_VARIABLES = ['nodes', 'json', 'wait-ms'].map(environmentVariableOf);
 
-/** The settings with what is needed to explain them. */
+/** The settings, with their layers for explaining each value. */
 export interface LoadedSettings {
   readonly settings: Settings;
   readonly layers: LayeredSettings;
 }
 
 /**
- * Reads the settings of a node from flags and REDWINGCRANK_* variables; flags go first.
+ * Reads the settings of a node from flags and REDWINGCRANK_* variables; flags take precedence.
  *
  * @param argv - The arguments after the program's name.
  * @param env - The variables; a list is comma-separated.
- * @throws InvalidInputError (101) with every fault at once.
+ * @throws InvalidInputError (101) that lists all faults.
  */
 export async function loadSettings(
   argv: readonly string[],
@@ -203,19 +250,19 @@
     .options(yargsOptions(NODE_OPTIONS))
     .parse();
   const layers = layerSettings({ options: NODE_OPTIONS, args, env, otherVariables: CLI_VARIABLES });
-  const extra = args._.map((found) => ({
+  const extraFaults = args._.map((found) => ({
     path: 'flags',
     expected: 'flags alone',
     found: String(found),
   }));
-  const reading = checkedSchema.safeParse(layers.values);
-  const faults = reading.success ? [] : faultsOf(reading.error, withoutSecrets(layers.values));
-  const all = [...layers.faults, ...extra, ...faults];
-  if (reading.success && all.length === 0) return { settings: reading.data, layers };
+  const parsed = checkedSchema.safeParse(layers.values);
+  const faults = parsed.success ? [] : faultsOf(parsed.error, withoutSecrets(layers.values));
+  const all = [...layers.faults, ...extraFaults, ...faults];
+  if (parsed.success && all.length === 0) return { settings: parsed.data, layers };
   throw new InvalidInputError('badSettings', all);
 }
 
-/** The settings alone. Parameters and errors are those of {@link loadSettings}. */
+/** Reads the settings without their layers. Parameters and errors: see {@link loadSettings}. */
 export async function readSettings(
   argv: readonly string[],
   env?: Readonly<Record<string, string | undefined>>,
@@ -223,12 +270,12 @@
   return (await loadSettings(argv, env)).settings;
 }
 
-/** One line for each setting, secrets left out. */
+/** Returns one line for each setting, with secrets hidden. */
 export function describeLoaded({ layers }: LoadedSettings): string[] {
   return [...describeSettings(NODE_OPTIONS, layers)];
 }
 
-/** A fault quotes what it found, and a secret must not get into a log that way. */
+/** Hides the secrets, because a fault quotes the value that it found. */
 function withoutSecrets(values: Readonly<Record<string, unknown>>): Record<string, unknown> {
   return { ...values, peerKeys: '(hidden)', adminKeys: '(hidden)' };
 }
--- a/packages/daemon/src/internal/sleep.ts
+++ b/packages/daemon/src/internal/sleep.ts
@@ -1,4 +1,4 @@
-/** Waits so many milliseconds; an open wait does not keep the process alive. */
+/** Waits for the given milliseconds; a pending wait does not keep the process alive. */
 export function sleep(ms: number): Promise<void> {
   return new Promise((resolve) => {
     setTimeout(resolve, ms).unref();
--- a/packages/daemon/src/internal/snapshot-writer.ts
+++ b/packages/daemon/src/internal/snapshot-writer.ts
@@ -4,13 +4,13 @@
 import type { EventLog } from './event-log.js';
 import { sleep } from './sleep.js';
 
-/** The stream as its reader knows it. */
+/** The state of a stream, as its reader has folded it. */
 export interface SnapshotSource {
-  /** The whole state, or undefined where records are missing. */
+  /** Returns the complete state, or undefined while records are missing. */
   state(): { readonly offset: number } | undefined;
-  /** Where the newest whole snapshot on the stream ended; -1 before the first. */
+  /** The offset where the newest complete snapshot in the stream ended; -1 before the first. */
   readonly snapshotOffset: number;
-  /** When the newest read that came to the end was started, in `performance.now()`. */
+  /** Start time of the newest read that reached the end, in ms of `performance.now()`. */
   readonly lastReadStartedAt: number;
 }
 
@@ -21,30 +21,30 @@
   readonly source: SnapshotSource;
   /** How long the log keeps a record, in milliseconds. */
   readonly retentionMs: number;
-  /** Whether this node is one that writes at present. */
+  /** Returns whether this node may write snapshots at present. */
   readonly mayWrite: () => boolean;
-  /** Draws from 0 up to 1. */
+  /** Returns a number from 0 (inclusive) to 1 (exclusive). */
   readonly random: () => number;
 }
 
 /** A snapshot is due after a quarter of the retention: three writes may fail before it expires. */
 const INTERVAL_SHARE = 1 / 4;
 
-/** Spreads the writers, so that one writes and the others see it before their own turn. */
+/** Jitter, so that one writer writes and the others see its snapshot before they are due. */
 const JITTER_SHARE = 1 / 8;
 
-const LOOKS_PER_RETENTION = 40;
+const CHECKS_PER_RETENTION = 40;
 
 /**
- * Writes the state of a stream to the stream again before its records expire. A writer that dies
- * half-way leaves a snapshot that no reader takes, and another one writes the next.
+ * Writes snapshots of a stream's state to the stream itself, before its records expire. If a writer
+ * dies half-way, readers ignore its incomplete snapshot, and another node writes the next one.
  */
 export class SnapshotWriter {
   readonly #options: SnapshotWriterOptions;
 
   #stopped = false;
 
-  #seenOffset = -1;
+  #lastSnapshotOffset = -1;
 
   #dueAt: number;
 
@@ -55,8 +55,8 @@
 
   async start(): Promise<void> {
     while (!this.#stopped) {
-      await sleep(this.#options.retentionMs / LOOKS_PER_RETENTION);
-      if (!this.#stopped && this.#due()) await this.#write();
+      await sleep(this.#options.retentionMs / CHECKS_PER_RETENTION);
+      if (!this.#stopped && this.#isDue()) await this.#write();
     }
   }
 
@@ -64,17 +64,17 @@
     this.#stopped = true;
   }
 
-  #due(): boolean {
+  #isDue(): boolean {
     const { source, mayWrite, retentionMs } = this.#options;
     const now = performance.now();
-    if (source.snapshotOffset !== this.#seenOffset) {
-      this.#seenOffset = source.snapshotOffset;
-      this.#postpone();
+    if (source.snapshotOffset !== this.#lastSnapshotOffset) {
+      this.#lastSnapshotOffset = source.snapshotOffset;
+      this.#scheduleNext();
     }
-    // A node that has not read for long would write a state behind records that have expired: no
-    // reader could start from it, and it would keep the others from writing a good one.
-    const fresh = now - source.lastReadStartedAt < retentionMs * INTERVAL_SHARE;
-    return fresh && now >= this.#dueAt && mayWrite();
+    // A node that has not read for long would write a state that is older than the oldest kept
+    // record: no reader could start from it, and other nodes would postpone their own snapshots.
+    const upToDate = now - source.lastReadStartedAt < retentionMs * INTERVAL_SHARE;
+    return upToDate && now >= this.#dueAt && mayWrite();
   }
 
   async #write(): Promise<void> {
@@ -87,7 +87,7 @@
         await log.append(stream, part);
         parts += 1;
       }
-      this.#postpone();
+      this.#scheduleNext();
       events.emit('info', 'snapshot-written', { stream, upTo: state.offset, parts });
     } catch (err) {
       const reason = err instanceof Error ? err.message : String(err);
@@ -95,7 +95,7 @@
     }
   }
 
-  #postpone(): void {
+  #scheduleNext(): void {
     const intervalMs = this.#options.retentionMs * INTERVAL_SHARE;
     this.#dueAt = performance.now() + intervalMs + this.#jitterMs();
   }
--- a/packages/daemon/src/internal/stream-follower.ts
+++ b/packages/daemon/src/internal/stream-follower.ts
@@ -6,22 +6,22 @@
 import { sleep } from './sleep.js';
 
 /**
- * How long a read waits at the log for a first new record. A connection that went silent is found
- * after this and the log client's own limit; a longer wait would find it later, a shorter one
- * costs more reads of a quiet stream.
+ * How long a read waits at the log for the first new record. A silent connection is detected after
+ * this time plus the log client's own limit: a longer wait would detect it later, a shorter one
+ * would cost more reads of an idle stream.
  */
 const LONG_POLL_MS = 1_000;
 
-/** Records that expired before this reader came to them. */
+/** Records that expired before this reader reached them. */
 export interface LostRecords {
-  /** The offset that was to be read next. */
+  /** The offset to be read next. */
   readonly from: number;
   /** The oldest offset the log still has. */
   readonly first: number;
 }
 
 /**
- * Follows one stream of the platform's log from its first record on.
+ * Follows one stream of the platform's log from its first record.
  *
  * Lifecycle: construct, subscribe, `run`, `stop`.
  */
@@ -41,10 +41,10 @@
   /** Records in log order. */
   readonly entries$ = new Subject<LogEntry>();
 
-  /** Fires before the entries that follow the gap. */
+  /** Emits a gap before the entries that follow it. */
   readonly lost$ = new Subject<LostRecords>();
 
-  /** True after each read that came to the end, false after each that failed. */
+  /** Emits true after each read that reached the end, false after each failed read. */
   readonly reachedEnd$ = new Subject<boolean>();
 
   constructor(log: PlatformLog, stream: string) {
@@ -53,18 +53,18 @@
   }
 
   /**
-   * When the newest successful read that came to the end of the stream was started, in
-   * milliseconds of `performance.now()`; -Infinity before the first. What stood on the log at
-   * that moment has been handed out. The start counts, not the answer: an answer that was under
-   * way for long says nothing of what was appended meanwhile.
+   * Start time of the newest successful read that reached the end of the stream, in milliseconds of
+   * `performance.now()`; -Infinity before the first. All records that were in the log at that time
+   * have been emitted. The start counts, not the answer: a delayed answer does not include records
+   * that were appended in the meantime.
    */
   get lastReadStartedAt(): number {
     return this.#lastReadStartedAt;
   }
 
-  /** Runs until `stop`. */
+  /** Reads the stream until `stop`. */
   async run(): Promise<void> {
-    // The first reads must not wait: a node is ready only when it has caught up.
+    // The first reads must not wait, because a node is ready only once it has caught up.
     let waitMs = 0;
     while (!this.#abort.signal.aborted) {
       const read = await this.#readOnce(waitMs);
@@ -83,8 +83,8 @@
     try {
       const page = await this.#log.read(this.#stream, this.#next, waitMs, signal);
       this.#backoff.reset();
-      // Retention outran this reader. Were the rest folded as if nothing were missing, this node
-      // alone would hold a state that no other has.
+      // Records expired before they were read. If the rest were folded as if nothing were missing,
+      // this node's state would differ from that of all others.
       if (page.first > this.#next) this.lost$.next({ from: this.#next, first: page.first });
       page.entries.forEach((entry) => this.entries$.next(entry));
       this.#next = page.next;
--- a/packages/daemon/src/internal/stream-task.ts
+++ b/packages/daemon/src/internal/stream-task.ts
@@ -13,10 +13,10 @@
   | { readonly type: 'end'; readonly startedAt: number }
   | { readonly type: 'adopt'; readonly state: unknown; readonly peer: string };
 
-/** Where the newest state came from; `none` before there is any. */
+/** The origin of the newest state; `none` before the first. */
 export type StreamSource = 'none' | 'log' | 'peer';
 
-/** Reads one stream into a fold, from the log and, where that cannot be had, from peers. */
+/** Reads one stream into a fold, from the log or, if the log cannot provide it, from peers. */
 export abstract class StreamTask<
   S extends { readonly offset: number },
   V,
@@ -29,7 +29,7 @@
 
   #source: StreamSource = 'none';
 
-  /** Whether the state is as new as the log or a peer could make it at least once. */
+  /** Whether the state has caught up with the log or a peer at least once. */
   readonly caughtUp$ = new BehaviorSubject(false);
 
   constructor(log: PlatformLog, stream: string, reader: StreamReader<S, V>, events: EventLog) {
@@ -48,22 +48,22 @@
     return this.#source;
   }
 
-  /** False while records are missing: the state is old, and nothing may be decided on it. */
+  /** False while records are missing: the state is outdated, and no decision may be based on it. */
   get complete(): boolean {
     return this.reader.complete;
   }
 
-  /** Where the newest whole snapshot on the stream ended; -1 before the first. */
+  /** The offset where the newest complete snapshot in the stream ended; -1 before the first. */
   get snapshotOffset(): number {
     return this.reader.snapshotOffset;
   }
 
-  /** The state for a snapshot or a peer, or undefined where there is none to rely on. */
+  /** Returns the state for a snapshot or a peer, or undefined while it is incomplete. */
   state(): S | undefined {
     return this.reader.state();
   }
 
-  /** Takes over a peer's state where it is newer than this one. */
+  /** Adopts a peer's state if it is newer than this one. */
   adopt(state: unknown, peer: string): void {
     this.post({ type: 'adopt', state, peer });
   }
@@ -83,32 +83,32 @@
     super.stop();
   }
 
-  /** Called for each record that was folded. */
+  /** Called for each folded record. */
   protected abstract onFolded(verdict: V, offset: number): void;
 
-  /** Called after the state was put in place as a whole. */
+  /** Called after the complete state was replaced. */
   protected abstract onRestored(): void;
 
-  /** Called when all is folded that stood on the log when a read was started. */
+  /** Called when all records are folded that were in the log when the read was started. */
   protected onReadToEnd(_startedAt: number): void {}
 
   protected override async handle(message: StreamMessage): Promise<void> {
     switch (message.type) {
       case 'entry':
-        this.#take(message.entry);
+        this.#foldEntry(message.entry);
         break;
       case 'lost':
-        this.#lost(message.lost);
+        this.#reportLost(message.lost);
         break;
       case 'adopt':
         this.#adopt(message.state, message.peer);
         break;
       default:
-        this.#end(message.startedAt);
+        this.#reachEnd(message.startedAt);
     }
   }
 
-  #take(entry: LogEntry): void {
+  #foldEntry(entry: LogEntry): void {
     const wasComplete = this.complete;
     const verdicts = this.reader.take(entry);
     if (!wasComplete && this.complete) {
@@ -118,7 +118,7 @@
     verdicts.forEach((verdict) => this.onFolded(verdict, entry.offset));
   }
 
-  #lost({ from, first }: LostRecords): void {
+  #reportLost({ from, first }: LostRecords): void {
     if (!this.reader.lost(first)) return;
     this.events.emit('warn', 'records-lost', { code: 403, stream: this.#stream, from, first });
   }
@@ -128,18 +128,18 @@
     this.#source = 'peer';
     this.events.emit('info', 'state-from-peer', { stream: this.#stream, peer });
     this.onRestored();
-    this.#catchUp();
+    this.#markCaughtUp();
   }
 
-  #end(startedAt: number): void {
-    // A node that has reached the end without a whole state knows nothing it could act on.
+  #reachEnd(startedAt: number): void {
+    // A node that has reached the end without a complete state must not act on it.
     if (!this.complete) return;
     this.#source = 'log';
     this.onReadToEnd(startedAt);
-    this.#catchUp();
+    this.#markCaughtUp();
   }
 
-  #catchUp(): void {
+  #markCaughtUp(): void {
     if (!this.caughtUp$.value) this.caughtUp$.next(true);
   }
 }
--- a/packages/daemon/src/internal/task.ts
+++ b/packages/daemon/src/internal/task.ts
@@ -3,8 +3,8 @@
 import type { EventLog } from './event-log.js';
 
 /**
- * A unit of concurrency: it owns its sockets and state, and the others reach it by messages
- * alone. Messages are handled one after another.
+ * A unit of concurrency: it owns its sockets and state, and other units send it messages instead of
+ * changing its state. Messages are handled one after another.
  *
  * Lifecycle: construct, `start`, any number of `post`, `stop`.
  */
@@ -29,19 +29,19 @@
   start(): void {
     const handled$ = this.#inbox.pipe(
       takeUntil(this.#finishing),
-      concatMap((message) => from(this.#guarded(message))),
+      concatMap((message) => from(this.#handleSafely(message))),
       share(),
     );
     this.#handled = lastValueFrom(handled$, { defaultValue: undefined });
     this.#subscription = handled$.subscribe();
   }
 
-  /** Hands the task a message; it is handled after those before it. */
+  /** Adds a message to the inbox; it is handled after those posted before it. */
   post(message: M): void {
     this.#inbox.next(message);
   }
 
-  /** Takes no more messages, and returns once those it has are handled. */
+  /** Accepts no more messages, and resolves once all accepted messages are handled. */
   async finish(): Promise<void> {
     this.#finishing.next();
     await this.#handled;
@@ -53,8 +53,8 @@
 
   protected abstract handle(message: M): Promise<void>;
 
-  /** One failed message must not end the task: the next may well succeed. */
-  async #guarded(message: M): Promise<void> {
+  /** Handles a message and logs its failure, so that a failed message does not stop the task. */
+  async #handleSafely(message: M): Promise<void> {
     try {
       await this.handle(message);
     } catch (err) {
--- a/packages/daemon/src/internal/why.ts
+++ b/packages/daemon/src/internal/why.ts
@@ -1,14 +1,14 @@
 import type { Manifest, TimelineEvent, WhyReason } from '@redwingcrank/protocol';
 import type { Reason, TaskExplanation, TaskState, WaitReason } from '@redwingcrank/decisions';
 
-/** What is known about the task that is asked for. */
+/** The known data about the requested task. */
 export interface WhyInput {
   readonly taskId: string;
   readonly dataCentre: string;
   readonly holds: boolean;
   readonly manifest: Manifest | undefined;
   readonly task: TaskState | undefined;
-  /** What the scheduler of this node says; only the holder's is about its own decisions. */
+  /** The explanation of this node's scheduler; only the holder's describes its own decisions. */
   readonly explanation: TaskExplanation | undefined;
   readonly history: readonly TimelineEvent[];
 }
@@ -27,13 +27,13 @@
   'next-pass': 'the next pass decides',
 };
 
-/** Every reason that a node can give; they are complete in the words of the records. */
+/** Yields every reason for the task's state that the node knows. */
 export function* whyReasons(input: WhyInput): Generator<WhyReason, void> {
   const [first] = manifestReasons(input);
   if (first) yield first;
   if (input.task) yield* attemptReasons(input.task);
-  const waits = !input.task || input.task.state === 'ended';
-  if (waits && first?.reason === 'wanted') yield* waitReasons(input);
+  const isWaiting = !input.task || input.task.state === 'ended';
+  if (isWaiting && first?.reason === 'wanted') yield* waitReasons(input);
 }
 
 function* manifestReasons({ taskId, dataCentre, manifest }: WhyInput): Generator<WhyReason> {
@@ -105,7 +105,7 @@
   }
 }
 
-/** A reason of the scheduler in words; what the attempt itself shows is not said twice. */
+/** Yields a reason of the scheduler as text; skips those that the attempt itself shows. */
 function* schedulerReason(reason: Reason): Generator<WhyReason> {
   switch (reason.code) {
     case 'waiting':
