--- a/packages/cli/src/internal/admin-client.ts
+++ b/packages/cli/src/internal/admin-client.ts
@@ -27,7 +27,7 @@
 
 type Query = Readonly<Record<string, string | undefined>>;
 
-/** Reads the administration API of one node. */
+/** A client of the administration API of one node. */
 export class AdminClient {
   readonly address: string;
 
@@ -35,7 +35,7 @@
 
   /**
    * @param address - `ip:port` of the node's administration listener.
-   * @param keys - The keys of operators; the first is sent.
+   * @param keys - The operators' keys; each request carries the first.
    */
   constructor(address: string, keys: readonly string[] = []) {
     this.address = address;
@@ -46,34 +46,34 @@
     return this.#get('status', {}, statusViewSchema);
   }
 
-  /** Every task of the node's data centre. */
+  /** Returns all tasks of the node's data centre. */
   tasks(query: Query = {}): Promise<TaskView[]> {
-    return this.#all('tasks', query, taskPageSchema, (page) => page.tasks);
+    return this.#getAll('tasks', query, taskPageSchema, (page) => page.tasks);
   }
 
   hosts(): Promise<HostView[]> {
-    return this.#all('hosts', {}, hostPageSchema, (page) => page.hosts);
+    return this.#getAll('hosts', {}, hostPageSchema, (page) => page.hosts);
   }
 
   jobs(): Promise<JobView[]> {
-    return this.#all('jobs', {}, jobPageSchema, (page) => page.jobs);
+    return this.#getAll('jobs', {}, jobPageSchema, (page) => page.jobs);
   }
 
   teams(): Promise<TeamView[]> {
-    return this.#all('teams', {}, teamPageSchema, (page) => page.teams);
+    return this.#getAll('teams', {}, teamPageSchema, (page) => page.teams);
   }
 
   why(task: string): Promise<WhyView> {
     return this.#get('why', { task }, whyViewSchema);
   }
 
-  /** The kept events after a stamp that pass the filter, oldest first. */
+  /** Returns the retained events after a stamp that match the filter, oldest first. */
   async events(after: string, filter: EventFilter = {}): Promise<TimelineEvent[]> {
     const events: TimelineEvent[] = [];
     let next: string | null = after;
     while (next !== null) {
       const query: Query = { ...filter, after: next };
-      const page: z.infer<typeof eventPageSchema> = await this.#page(
+      const page: z.infer<typeof eventPageSchema> = await this.#getPage(
         'events',
         query,
         eventPageSchema,
@@ -84,12 +84,15 @@
     return events;
   }
 
-  /** The manifest in force, or null before the first; a newer release may have more fields. */
+  /**
+   * Returns the manifest in force, or null before the first one. It is returned unchecked, since a
+   * node of a newer release may add fields.
+   */
   async manifest(): Promise<unknown> {
     return (await this.#get('manifest', {}, z.object({ manifest: z.unknown() }))).manifest;
   }
 
-  async #all<P extends { readonly next: string | null }, T>(
+  async #getAll<P extends { readonly next: string | null }, T>(
     route: AdminRouteName,
     query: Query,
     schema: z.ZodType<P>,
@@ -98,20 +101,20 @@
     const items: T[] = [];
     let cursor: string | undefined;
     do {
-      const page: P = await this.#page(route, { ...query, cursor }, schema);
+      const page: P = await this.#getPage(route, { ...query, cursor }, schema);
       items.push(...itemsOf(page));
       cursor = page.next ?? undefined;
     } while (cursor !== undefined);
     return items;
   }
 
-  #page<T>(route: AdminRouteName, query: Query, schema: z.ZodType<T>): Promise<T> {
+  #getPage<T>(route: AdminRouteName, query: Query, schema: z.ZodType<T>): Promise<T> {
     return this.#get(route, { ...query, limit: String(MAX_PAGE_LIMIT) }, schema);
   }
 
   #get<T>(route: AdminRouteName, query: Query, schema: z.ZodType<T>): Promise<T> {
-    const given = Object.entries(query).filter(([, value]) => value !== undefined);
-    const search = new URLSearchParams(given as [string, string][]);
+    const definedEntries = Object.entries(query).filter(([, value]) => value !== undefined);
+    const search = new URLSearchParams(definedEntries as [string, string][]);
     return callJson({
       url: `http://${this.address}${ADMIN_ROUTES[route].path}?${search}`,
       method: 'GET',
--- a/packages/cli/src/internal/cli-settings.ts
+++ b/packages/cli/src/internal/cli-settings.ts
@@ -1,7 +1,7 @@
 import { z } from 'zod';
 import type { SettingOptions } from '@redwingcrank/ports';
 
-/** What every command takes. */
+/** The options of every command. */
 export const COMMON_OPTIONS = {
   json: { type: 'boolean', default: false, describe: 'Print JSON for scripts' },
   nodes: {
@@ -15,22 +15,22 @@
     array: true,
     default: [],
     secret: true,
-    describe: 'Keys of operators, better as a variable: the first is sent',
+    describe: 'Keys of operators, of which the first is sent; better set as a variable',
   },
-  'log-url': { type: 'string', describe: "The platform's log, for publish" },
+  'log-url': { type: 'string', describe: "URL of the platform's log, for publish" },
   'print-config': {
     type: 'boolean',
     default: false,
-    describe: 'Print what is in force and where it came from, and end',
+    describe: 'Print the settings in force and the source of each, then exit',
   },
 } as const satisfies SettingOptions;
 
-/** Further options that more than one command takes. */
+/** The positional argument of commands that read a manifest. */
 export const manifestPathSchema = z.string().min(1, 'the path of a manifest');
 
 const address = z.string().regex(/^[\d.]+:\d+$/, 'ip:port');
 
-/** Settings of commands that ask no node. */
+/** The settings of commands that call no node. */
 export const commonSchema = z.object({
   json: z.boolean(),
   nodes: z.array(address),
@@ -38,7 +38,7 @@
   logUrl: z.url({ protocol: /^https?$/ }).optional(),
 });
 
-/** Settings of commands that ask nodes. */
+/** The settings of commands that call nodes. */
 export const nodesSchema = commonSchema.extend({
   nodes: z.array(address).min(1, 'at least one node: --nodes or REDWINGCRANK_NODES'),
 });
--- a/packages/cli/src/internal/cluster.ts
+++ b/packages/cli/src/internal/cluster.ts
@@ -2,12 +2,12 @@
 import { CodedError } from '@redwingcrank/protocol';
 import type { AdminClient } from './admin-client.js';
 
-/** What a node said of itself, or why it said nothing. */
+/** The status that a node reported, or the reason why it did not answer. */
 export type NodeAnswer =
   | { readonly client: AdminClient; readonly status: StatusView }
   | { readonly client: AdminClient; readonly reason: string };
 
-/** The nodes that the command line was given, asked together. */
+/** The nodes named on the command line. */
 export class Cluster {
   readonly clients: readonly AdminClient[];
 
@@ -16,7 +16,7 @@
     this.clients = clients;
   }
 
-  /** What each node says of itself. */
+  /** Requests the status of every node. */
   async statuses(): Promise<NodeAnswer[]> {
     return Promise.all(
       this.clients.map(async (client): Promise<NodeAnswer> => {
@@ -30,12 +30,12 @@
   }
 
   /**
-   * Asks, for each data centre, the node that has read furthest in its control stream: one that
-   * lags would show a past state as the present one.
+   * Queries one node per data centre: the one that has read the control stream furthest, since a
+   * node that lags would present a past state as the current one.
    *
-   * @throws CodedError (102) where no node answers.
+   * @throws CodedError (102) if no node answers.
    */
-  async perDataCentre<T>(ask: (client: AdminClient) => Promise<T[]>): Promise<T[]> {
+  async perDataCentre<T>(query: (client: AdminClient) => Promise<T[]>): Promise<T[]> {
     const furthest = new Map<string, { client: AdminClient; offset: number }>();
     for (const { client, status } of await this.reachable()) {
       const best = furthest.get(status.dataCentre);
@@ -43,19 +43,19 @@
         furthest.set(status.dataCentre, { client, offset: status.controlOffset });
       }
     }
-    const lists = await Promise.all([...furthest.values()].map(({ client }) => ask(client)));
+    const lists = await Promise.all([...furthest.values()].map(({ client }) => query(client)));
     return lists.flat();
   }
 
   /**
-   * The nodes that answer.
+   * Returns the nodes that answer, with their status.
    *
-   * @throws CodedError (102) where none does, with what each call met.
+   * @throws CodedError (102) if no node answers; its message lists why each call failed.
    */
   async reachable(): Promise<{ readonly client: AdminClient; readonly status: StatusView }[]> {
     const answers = await this.statuses();
-    const good = answers.filter((answer) => 'status' in answer);
-    if (good.length > 0) return good;
+    const answering = answers.filter((answer) => 'status' in answer);
+    if (answering.length > 0) return answering;
     const reasons = answers.map((answer) => ('reason' in answer ? answer.reason : ''));
     throw new CodedError('nodeUnreachable', reasons.join('\n'));
   }
--- a/packages/cli/src/internal/command.ts
+++ b/packages/cli/src/internal/command.ts
@@ -5,13 +5,13 @@
 import type { commonSchema } from './cli-settings.js';
 import type { Output } from './output.js';
 
-/** The settings that every command has, whatever else its schema asks for. */
+/** The settings that every command has, in addition to those of its own schema. */
 export type CommonSettings = z.infer<typeof commonSchema>;
 
 /**
- * A command of the operators' command line: its usage, its settings and what it does.
+ * A command of the operators' command line: its usage, its settings and its implementation.
  *
- * @typeParam S - Its checked settings, positional arguments included.
+ * @typeParam S - The validated settings, including the positional arguments.
  */
 export abstract class Command<S extends CommonSettings = CommonSettings> {
   /** The name with positional arguments, in the notation of yargs: `why <task>`. */
@@ -19,25 +19,29 @@
 
   abstract readonly summary: string;
 
-  /** Command lines without the program's name, each with what it does. */
+  /** Example command lines without the program's name, each with a description. */
   abstract readonly examples: readonly (readonly [string, string])[];
 
-  /** Flags of this command alone. */
+  /** The flags that only this command has. */
   readonly options: SettingOptions = {};
 
-  /** Checks settings and positional arguments together. */
+  /** The schema of the settings and positional arguments together. */
   abstract readonly schema: z.ZodType<S>;
 
-  /** @throws CodedError where it is refused or fails. */
+  /**
+   * Runs the command.
+   *
+   * @throws CodedError if the request is refused or fails.
+   */
   abstract run(settings: S, out: Output): Promise<void>;
 
-  /** The names of the positional arguments. */
+  /** The names of the positional arguments, in the order of the usage. */
   get positionals(): string[] {
     return [...this.usage.matchAll(/[<[](\w+)[\]>]/g)].map(([, name = '']) => name);
   }
 }
 
-/** The nodes that the settings name. */
+/** Creates the clients of the nodes that the settings name. */
 export function clusterOf({ nodes, adminKeys }: CommonSettings): Cluster {
   return new Cluster(nodes.map((node) => new AdminClient(node, adminKeys)));
 }
--- a/packages/cli/src/internal/commands/codes.ts
+++ b/packages/cli/src/internal/commands/codes.ts
@@ -4,7 +4,7 @@
 import { Command } from '../command.js';
 import type { Output } from '../output.js';
 
-/** The table of the numbered result codes. */
+/** Prints the table of the numbered result codes. */
 export class Codes extends Command {
   readonly usage = 'codes';
 
--- a/packages/cli/src/internal/commands/lists.ts
+++ b/packages/cli/src/internal/commands/lists.ts
@@ -8,20 +8,22 @@
 import type { Output } from '../output.js';
 import { formatResources } from '../output.js';
 
-/** A command that prints one list, gathered from a node of each data centre. */
+/** A command that prints one list, collected from one node of each data centre. */
 abstract class ListCommand<T extends Record<string, unknown>> extends Command {
   readonly schema: z.ZodType<CommonSettings> = nodesSchema;
 
   protected abstract readonly columns: readonly string[];
 
   async run(settings: CommonSettings, out: Output): Promise<void> {
-    const items = this.merge(await clusterOf(settings).perDataCentre((node) => this.ask(node)));
+    const items = this.merge(
+      await clusterOf(settings).perDataCentre((node) => this.fetchItems(node)),
+    );
     out.rows(this.columns, settings.json ? items : items.map((item) => this.rowOf(item)));
   }
 
-  protected abstract ask(node: AdminClient): Promise<T[]>;
+  protected abstract fetchItems(node: AdminClient): Promise<T[]>;
 
-  /** Brings together what the data centres say of one thing. */
+  /** Merges the items that different data centres report for the same name. */
   protected merge(items: T[]): T[] {
     return items;
   }
@@ -31,7 +33,7 @@
   }
 }
 
-/** All tasks and where they run. */
+/** Lists all tasks and where they run. */
 export class Tasks extends ListCommand<TaskView> {
   readonly usage = 'tasks';
 
@@ -41,22 +43,22 @@
 
   protected readonly columns = ['taskId', 'attempt', 'state', 'hostId', 'endpoint', 'outcome'];
 
-  protected ask(node: AdminClient): Promise<TaskView[]> {
+  protected fetchItems(node: AdminClient): Promise<TaskView[]> {
     return node.tasks();
   }
 }
 
-/** All hosts and what is committed on them. */
+/** Lists all hosts and the resources committed on them. */
 export class Hosts extends ListCommand<HostView> {
   readonly usage = 'hosts';
 
-  readonly summary = 'All hosts and what is committed on them';
+  readonly summary = 'All hosts and the resources committed on them';
 
   readonly examples = [['hosts', 'Every host of every data centre']] as const;
 
   protected readonly columns = ['hostId', 'rack', 'state', 'tasks', 'committed', 'capacity'];
 
-  protected ask(node: AdminClient): Promise<HostView[]> {
+  protected fetchItems(node: AdminClient): Promise<HostView[]> {
     return node.hosts();
   }
 
@@ -66,11 +68,11 @@
   }
 }
 
-/** All jobs with their tasks counted. */
+/** Lists all jobs with the number of their tasks in each state. */
 export class Jobs extends ListCommand<JobView> {
   readonly usage = 'jobs';
 
-  readonly summary = 'All jobs with how far they are';
+  readonly summary = 'All jobs and their progress';
 
   readonly examples = [['jobs', 'Every job of every data centre']] as const;
 
@@ -87,22 +89,22 @@
     'exhausted',
   ];
 
-  protected ask(node: AdminClient): Promise<JobView[]> {
+  protected fetchItems(node: AdminClient): Promise<JobView[]> {
     return node.jobs();
   }
 }
 
-/** All teams with what their tasks hold, over all data centres. */
+/** Lists all teams with the resources that their tasks hold in all data centres together. */
 export class Teams extends ListCommand<TeamView> {
   readonly usage = 'teams';
 
-  readonly summary = 'All teams with their quotas and what they hold';
+  readonly summary = 'All teams with their quotas and the resources they hold';
 
   readonly examples = [['teams', 'Every team, added up over the data centres']] as const;
 
   protected readonly columns = ['name', 'weight', 'activeTasks', 'committed', 'quota'];
 
-  protected ask(node: AdminClient): Promise<TeamView[]> {
+  protected fetchItems(node: AdminClient): Promise<TeamView[]> {
     return node.teams();
   }
 
--- a/packages/cli/src/internal/commands/publish.ts
+++ b/packages/cli/src/internal/commands/publish.ts
@@ -25,8 +25,11 @@
   readonly summary = 'Publish a manifest and wait until every node has it in force';
 
   readonly examples = [
-    ['publish upepo.json --dry-run', 'Show the difference and what it would start, stop or refuse'],
-    ['publish upepo.json', 'Publish; nodes and log from REDWINGCRANK_NODES and _LOG_URL'],
+    ['publish upepo.json --dry-run', 'Show the changes and what they would start, stop or refuse'],
+    [
+      'publish upepo.json',
+      'Publish; nodes and log from REDWINGCRANK_NODES and REDWINGCRANK_LOG_URL',
+    ],
   ] as const;
 
   override readonly options = {
@@ -42,9 +45,9 @@
     const inForce = await manifestInForce(cluster);
     const current = inForce?.version ?? 0;
     out.line(`version ${manifest.version} replaces version ${manifest.replaces}`);
-    // The log decides races; what is stale already needs no record there.
+    // The log decides races; a manifest that is already stale is refused without appending it.
     if (manifest.replaces !== current) {
-      const detail = `it replaces version ${manifest.replaces}, but ${current} is in force`;
+      const detail = `manifest replaces version ${manifest.replaces}, but ${current} is in force`;
       throw new CodedError('manifestConflict', detail);
     }
     if (settings.dryRun) {
@@ -58,7 +61,10 @@
   }
 }
 
-/** The highest version that a node has in force: versions only go up, so others lag behind it. */
+/**
+ * Returns the manifest with the highest version that a node has in force: versions only increase,
+ * so a node with a lower version lags behind.
+ */
 async function manifestInForce(cluster: Cluster): Promise<Manifest | undefined> {
   const nodes = await cluster.reachable();
   const versions = nodes.map(({ status }) => status.manifestVersion);
--- a/packages/cli/src/internal/commands/status.ts
+++ b/packages/cli/src/internal/commands/status.ts
@@ -3,14 +3,14 @@
 import { Command, clusterOf } from '../command.js';
 import type { Output } from '../output.js';
 
-/** The state of each node. */
+/** Prints the state of each node. */
 export class Status extends Command {
   readonly usage = 'status';
 
-  readonly summary = 'The state of each node, with what went wrong lately';
+  readonly summary = 'The state of each node, and the manifests rejected lately';
 
   readonly examples = [
-    ['status --nodes 10.0.0.1:7003,10.0.0.2:7003', 'Ask two nodes'],
+    ['status --nodes 10.0.0.1:7003,10.0.0.2:7003', 'Query two nodes'],
     ['status --json', 'For a script, nodes from REDWINGCRANK_NODES'],
   ] as const;
 
@@ -37,7 +37,7 @@
     for (const answer of answers) {
       if ('reason' in answer) out.line(`${answer.client.address}: ${answer.reason}`);
     }
-    // Every node rejects alike, so one node's word is enough.
+    // All nodes reject the same manifests, so each rejection is printed once.
     const rejections = answers.flatMap((a) => ('status' in a ? a.status.rejections : []));
     const unique = new Map(rejections.map((rejection) => [rejection.offset, rejection]));
     for (const { offset, reason, detail } of unique.values()) {
--- a/packages/cli/src/internal/commands/timeline.ts
+++ b/packages/cli/src/internal/commands/timeline.ts
@@ -12,14 +12,14 @@
 const UNITS_MS: Readonly<Record<string, number>> = { s: 1_000, m: 60_000, h: 3_600_000 };
 const SINCE_PATTERN = /^(\d+)([smh])$/;
 
-/** The pause between two looks of `--follow`. */
-const FOLLOW_MS = 500;
+/** The pause between two polls of `--follow`, in milliseconds. */
+const FOLLOW_POLL_INTERVAL_MS = 500;
 
 /**
- * How long `--follow` holds an event back: one of another node with an earlier stamp may come up
- * to a look later.
+ * How long `--follow` holds an event back, in milliseconds: an event of another node with an
+ * earlier stamp may arrive up to one poll later.
  */
-const SETTLE_MS = 2 * FOLLOW_MS;
+const REORDER_DELAY_MS = 2 * FOLLOW_POLL_INTERVAL_MS;
 
 const since = z
   .string()
@@ -40,16 +40,16 @@
 
 type TimelineSettings = z.infer<typeof schema>;
 
-/** The events of all processes in one order. */
+/** Prints the events of all nodes in one order. */
 export class Timeline extends Command<TimelineSettings> {
   readonly usage = 'timeline';
 
   readonly summary = 'Events of all nodes in the order of their hybrid logical clocks';
 
   readonly examples = [
-    ['timeline --task dc1/routes/0', 'What happened to one task'],
+    ['timeline --task dc1/routes/0', 'Events of one task'],
     ['timeline --kind manifest-in-force --since 15m', 'Manifests of the last quarter of an hour'],
-    ['timeline --follow', 'What happens from now on, until interrupted'],
+    ['timeline --follow', 'The newest events, then new ones until interrupted'],
   ] as const;
 
   override readonly options = {
@@ -58,8 +58,12 @@
     host: { type: 'string', describe: 'Only events of this host' },
     kind: { type: 'string', describe: 'Only events of this name, such as attempt-bind' },
     since: { type: 'string', describe: 'A time, or a span back from now: 90s, 15m, 2h' },
-    last: { type: 'number', default: 50, describe: 'So many of the newest events' },
-    follow: { type: 'boolean', default: false, describe: 'Go on until interrupted' },
+    last: { type: 'number', default: 50, describe: 'Number of the newest events to print' },
+    follow: {
+      type: 'boolean',
+      default: false,
+      describe: 'Keep printing new events until interrupted',
+    },
   } as const;
 
   readonly schema = schema;
@@ -85,7 +89,7 @@
   return Date.now() - Number(count) * (UNITS_MS[unit] ?? 0);
 }
 
-/** Prints the events so far, and then what each node adds, in order, until the process ends. */
+/** Prints the first events, then new events of all nodes in order, until the process ends. */
 async function followEvents(
   { clients }: Cluster,
   settings: TimelineSettings,
@@ -98,18 +102,18 @@
   };
   first.forEach(print);
   const start = first.at(-1)?.hlc ?? stampAt(Date.now());
-  // Each node has a place of its own: stamps of different nodes arrive out of order.
-  const places = new Map<AdminClient, string>(clients.map((client) => [client, start]));
-  let held: TimelineEvent[] = [];
+  // Each node has its own cursor, since stamps of different nodes arrive out of order.
+  const cursors = new Map<AdminClient, string>(clients.map((client) => [client, start]));
+  let pending: TimelineEvent[] = [];
   for (;;) {
-    await wait(FOLLOW_MS);
+    await wait(FOLLOW_POLL_INTERVAL_MS);
     for (const client of clients) {
-      const events = await client.events(places.get(client) ?? start, settings).catch(() => []);
-      held.push(...events);
-      places.set(client, events.at(-1)?.hlc ?? places.get(client) ?? start);
+      const events = await client.events(cursors.get(client) ?? start, settings).catch(() => []);
+      pending.push(...events);
+      cursors.set(client, events.at(-1)?.hlc ?? cursors.get(client) ?? start);
     }
-    const settled = stampAt(Date.now() - SETTLE_MS);
-    sortEvents(held.filter((event) => event.hlc <= settled)).forEach(print);
-    held = held.filter((event) => event.hlc > settled);
+    const printableUntil = stampAt(Date.now() - REORDER_DELAY_MS);
+    sortEvents(pending.filter((event) => event.hlc <= printableUntil)).forEach(print);
+    pending = pending.filter((event) => event.hlc > printableUntil);
   }
 }
--- a/packages/cli/src/internal/commands/trace.ts
+++ b/packages/cli/src/internal/commands/trace.ts
@@ -30,8 +30,8 @@
 
 const STOP_COLUMNS = ['queue', 'reason', 'stops', 'lostCpuS'];
 
-/** A line that is dated this much before one that caused it shows that clocks differ, in ms. */
-const CLOCK_GAP_MS = 1_000;
+/** A gap between two lines that is longer than this is shown in the output, in milliseconds. */
+const MIN_SHOWN_GAP_MS = 1_000;
 
 interface Line {
   readonly at: string;
@@ -40,11 +40,11 @@
   readonly rest: string;
 }
 
-/** What the log files of several nodes say: of one id, or of the service that each queue had. */
+/** Prints the lines of one id from the log files of several nodes, or a summary of each queue. */
 export class Trace extends Command<z.infer<typeof schema>> {
   readonly usage = 'trace [id]';
 
-  readonly summary = 'What the log files of several nodes say of an id, or of every queue';
+  readonly summary = 'The log lines of several nodes about an id, or a summary by queue';
 
   readonly examples = [
     ['trace 5c0e7a21d94b36f8 --file node1.log --file node2.log', 'A job and all its tasks'],
@@ -56,42 +56,46 @@
       type: 'string',
       array: true,
       default: [],
-      describe: 'A log file, once for each; standard input if there is none',
+      describe: 'A log file, may be repeated; standard input if not given',
     },
-    summary: { type: 'boolean', default: false, describe: 'Sum up by queue and window of time' },
+    summary: { type: 'boolean', default: false, describe: 'Summarise by queue and time window' },
     'window-s': { type: 'string', default: '10', describe: 'Length of a window, in seconds' },
-    format: { type: 'string', default: 'table', describe: 'Of the summary: table or json' },
+    format: { type: 'string', default: 'table', describe: 'Format of the summary: table or json' },
   } as const;
 
   readonly schema = schema;
 
-  /** @throws InvalidInputError where a file cannot be read, or there is no line to sum up. */
+  /** @throws InvalidInputError if a file cannot be read, or there is no line to summarise. */
   async run(settings: z.infer<typeof schema>, out: Output): Promise<void> {
     const { id, file, windowS, format } = settings;
-    if (id !== undefined) await traceId(id, file, out);
-    else await sumUp(file, windowS * 1_000, format === 'json' ? new Output(true) : out);
+    if (id !== undefined) await printTrace(id, file, out);
+    else await printSummary(file, windowS * 1_000, format === 'json' ? new Output(true) : out);
   }
 }
 
-async function traceId(id: string, files: readonly string[], out: Output): Promise<void> {
+async function printTrace(id: string, files: readonly string[], out: Output): Promise<void> {
   const lines: Line[] = [];
-  for await (const text of linesOf(files)) {
+  for await (const text of readLines(files)) {
     if (text.includes(id) && text.includes('event=')) lines.push(parseLine(text));
   }
   lines.sort((a, b) => (a.at < b.at ? -1 : 1));
   out.value(lines);
   for (const [index, line] of lines.entries()) {
     const gapMs = index > 0 ? Date.parse(line.at) - Date.parse(lines[index - 1]!.at) : 0;
-    if (gapMs > CLOCK_GAP_MS) out.line(`  ... ${(gapMs / 1_000).toFixed(1)} s ...`);
+    if (gapMs > MIN_SHOWN_GAP_MS) out.line(`  ... ${(gapMs / 1_000).toFixed(1)} s ...`);
     out.line(`${line.at} ${line.node} ${line.event} ${line.rest}`);
   }
-  if (lines.length === 0) out.line(`No line names ${id}.`);
+  if (lines.length === 0) out.line(`No line contains ${id}.`);
 }
 
-async function sumUp(files: readonly string[], windowMs: number, out: Output): Promise<void> {
-  const sums = new LogSummary(windowMs);
-  for await (const line of linesOf(files)) sums.add(line);
-  const summary = sums.summary();
+async function printSummary(
+  files: readonly string[],
+  windowMs: number,
+  out: Output,
+): Promise<void> {
+  const logSummary = new LogSummary(windowMs);
+  for await (const line of readLines(files)) logSummary.add(line);
+  const summary = logSummary.summary();
   if (summary.lines === 0) {
     const path = files.join(', ') || 'standard input';
     throw new InvalidInputError('badSettings', [{ path, expected: 'log lines', found: 'none' }]);
@@ -103,7 +107,7 @@
   out.line(`${summary.lines} lines, ${summary.skipped} skipped`);
 }
 
-async function* linesOf(files: readonly string[]): AsyncGenerator<string> {
+async function* readLines(files: readonly string[]): AsyncGenerator<string> {
   if (files.length === 0 && process.stdin.isTTY) {
     const missing = { path: 'file', expected: 'the log files of the nodes', found: 'none' };
     throw new InvalidInputError('badSettings', [missing]);
--- a/packages/cli/src/internal/commands/validate.ts
+++ b/packages/cli/src/internal/commands/validate.ts
@@ -6,7 +6,7 @@
 
 const schema = commonSchema.extend({ file: manifestPathSchema });
 
-/** Checks a manifest without asking any node. */
+/** Checks a manifest without calling any node. */
 export class Validate extends Command<z.infer<typeof schema>> {
   readonly usage = 'validate <file>';
 
--- a/packages/cli/src/internal/commands/why.ts
+++ b/packages/cli/src/internal/commands/why.ts
@@ -10,10 +10,10 @@
   task: z.string().regex(/^[^/]+\/[^/]+\/\d+$/, 'dataCentre/owner/index'),
 });
 
-/** Nodes of other data centres know nothing of the task. */
-const NO_WORD = 'other-data-centre';
+/** The reason given by nodes of other data centres, which know nothing about the task. */
+const OTHER_DATA_CENTRE = 'other-data-centre';
 
-/** Why a task runs where it does or does not run, as all nodes together know it. */
+/** Explains why a task runs where it does, or does not run, from the answers of all nodes. */
 export class Why extends Command<z.infer<typeof schema>> {
   readonly usage = 'why <task>';
 
@@ -25,29 +25,31 @@
 
   async run(settings: z.infer<typeof schema>, out: Output): Promise<void> {
     const nodes = await clusterOf(settings).reachable();
-    const asked = nodes.map(({ client }) => client.why(settings.task).catch(() => undefined));
-    const views = (await Promise.all(asked)).filter((view) => view !== undefined);
-    const told = views.filter((view) => view.reasons.every(({ reason }) => reason !== NO_WORD));
-    // The holder knows why a task waits; the others know the records alone.
-    const best = told.find((view) => view.holds) ?? told[0];
+    const answers = nodes.map(({ client }) => client.why(settings.task).catch(() => undefined));
+    const views = (await Promise.all(answers)).filter((view) => view !== undefined);
+    const localViews = views.filter((view) =>
+      view.reasons.every(({ reason }) => reason !== OTHER_DATA_CENTRE),
+    );
+    // The holder of the term knows why a task waits; the others know only the records of the log.
+    const best = localViews.find((view) => view.holds) ?? localViews[0];
     if (!best) {
       const detail = `no node of the data centre of ${settings.task} answered`;
       throw new CodedError('notFound', detail);
     }
-    const reasons = mergeReasons(best, told);
+    const reasons = mergeReasons(best, localViews);
     const history = mergeHistory(views);
     out.value({ ...best, reasons, history });
-    out.line(`${best.taskId}: ${best.state}, as ${best.nodeId} knows it`);
+    out.line(`${best.taskId}: ${best.state}, according to ${best.nodeId}`);
     for (const { reason, detail } of reasons) out.line(`  ${reason}: ${detail}`);
-    out.line(history.length > 0 ? 'What happened to it:' : 'No event of it is kept.');
+    out.line(history.length > 0 ? 'Event history:' : 'No events of it are retained.');
     for (const event of history) out.line(`  ${formatEvent(event)}`);
   }
 }
 
-/** The reasons of the node that knows best, without the hint to ask the holder if it was asked. */
-function mergeReasons(best: WhyView, told: readonly WhyView[]): WhyReason[] {
-  const held = told.some((view) => view.holds);
-  return best.reasons.filter(({ reason }) => !(held && reason === 'not-holder'));
+/** Returns the reasons of one view, without the hint to ask the holder if the holder answered. */
+function mergeReasons(best: WhyView, localViews: readonly WhyView[]): WhyReason[] {
+  const holderAnswered = localViews.some((view) => view.holds);
+  return best.reasons.filter(({ reason }) => !(holderAnswered && reason === 'not-holder'));
 }
 
 function mergeHistory(views: readonly WhyView[]): TimelineEvent[] {
--- a/packages/cli/src/internal/log-summary.ts
+++ b/packages/cli/src/internal/log-summary.ts
@@ -1,12 +1,12 @@
 import logfmt from 'logfmt';
 
-/** How a job of a queue came out. */
+/** The outcome of a job; `inTime` and `late` say whether a completed job met its objective. */
 type JobOutcome = 'inTime' | 'late' | 'failed' | 'cancelled' | 'unfinished';
 
-/** Jobs that were accepted, and tasks that were bound, in one window of time. */
+/** Jobs of a queue accepted in one time window, and its tasks bound in that window. */
 export interface WindowRow {
   readonly queue: string;
-  /** Time of day at which the window begins, ISO 8601. */
+  /** Start of the window, as an ISO 8601 timestamp. */
   readonly from: string;
   readonly jobs: number;
   readonly inTime: number;
@@ -14,15 +14,18 @@
   readonly failed: number;
   readonly cancelled: number;
   readonly unfinished: number;
-  /** Of the tasks bound in the window: the wait from their step's turn on, in milliseconds. */
+  /**
+   * Percentiles, over the bindings of the window, of a task's wait from when its step became ready
+   * until it was bound, in milliseconds.
+   */
   readonly waitP50Ms: number;
   readonly waitP90Ms: number;
   readonly waitP99Ms: number;
-  /** Runs of a task, in the mean over the tasks bound in the window. */
+  /** Mean number of runs per task, over the tasks bound in the window. */
   readonly runsPerTask: number;
 }
 
-/** Waits of tasks by what kept them from a worker last. */
+/** Waits of tasks, grouped by the last reason why they could not be bound to a worker. */
 export interface WaitRow {
   readonly queue: string;
   readonly keptBy: string;
@@ -32,19 +35,19 @@
   readonly waitP99Ms: number;
 }
 
-/** Stopped runs by reason. */
+/** Stopped runs, grouped by reason. */
 export interface StopRow {
   readonly queue: string;
   readonly reason: string;
   readonly stops: number;
-  /** Processor seconds of work that no checkpoint holds. */
+  /** Processor seconds of work that was lost because no checkpoint contains it. */
   readonly lostCpuS: number;
 }
 
-/** What the logs of an installation say of the service that its queues had. */
+/** The service that the queues of an installation got, computed from its logs. */
 export interface Summary {
   readonly lines: number;
-  /** Lines that were cut, or are no lines of a node. */
+  /** Number of lines that are truncated or were not written by a node. */
   readonly skipped: number;
   readonly windows: readonly WindowRow[];
   readonly waits: readonly WaitRow[];
@@ -53,7 +56,7 @@
 
 type Fields = Readonly<Record<string, string | undefined>>;
 
-interface JobLife {
+interface JobRecord {
   queue: string;
   acceptedMs: number;
   outcome: JobOutcome;
@@ -76,17 +79,17 @@
 const UNKNOWN_QUEUE = '?';
 
 /**
- * Collects lines of any number of nodes, in any order. Jobs are attributed to the window in which
- * they were accepted, bindings to the one in which they were made.
+ * Summarises log lines of any number of nodes, added in any order. A job counts in the window in
+ * which it was accepted, a binding in the window in which it was made.
  */
 export class LogSummary {
   readonly #windowMs: number;
 
-  readonly #jobs = new Map<string, JobLife>();
+  readonly #jobs = new Map<string, JobRecord>();
 
   readonly #bindings: Binding[] = [];
 
-  /** The first stop of each run; later ones repeat it. */
+  /** The first stop of each run, by task and run; later stops of a run are repetitions. */
   readonly #stops = new Map<string, Stop>();
 
   #lines = 0;
@@ -97,14 +100,14 @@
     this.#windowMs = windowMs;
   }
 
-  /** Takes in one line; an empty one is none. */
+  /** Adds one line; blank lines are ignored and not counted. */
   add(line: string): void {
     if (!line.trim()) return;
     this.#lines += 1;
-    // What collects the logs may have put something in front of each line.
+    // A log collector may have put a prefix before each line.
     const fields: Fields = logfmt.parse(line.slice(Math.max(0, line.indexOf('at='))));
     const atMs = Date.parse(fields.at ?? '');
-    if (Number.isNaN(atMs) || !fields.event || !this.#take(fields.event, atMs, fields)) {
+    if (Number.isNaN(atMs) || !fields.event || !this.#addEvent(fields.event, atMs, fields)) {
       this.#skipped += 1;
     }
   }
@@ -119,45 +122,48 @@
     };
   }
 
-  /** Whether the line has the fields of its event; events that say nothing here are whole. */
-  #take(event: string, atMs: number, fields: Fields): boolean {
+  /**
+   * Records the event and returns whether its line has all the fields that are read here. Other
+   * events are ignored and count as complete.
+   */
+  #addEvent(event: string, atMs: number, fields: Fields): boolean {
     switch (event) {
       case 'submit':
-        return this.#submitted(atMs, fields);
+        return this.#addSubmit(atMs, fields);
       case 'job-ended':
-        return this.#ended(fields);
+        return this.#addJobEnd(fields);
       case 'bound':
-        return this.#bound(atMs, fields);
+        return this.#addBinding(atMs, fields);
       case 'task-stop':
-        return this.#stopped(fields);
+        return this.#addStop(fields);
       default:
         return true;
     }
   }
 
-  #submitted(atMs: number, { job, queue, outcome }: Fields): boolean {
+  #addSubmit(atMs: number, { job, queue, outcome }: Fields): boolean {
     if (!job || !queue || !outcome) return false;
-    if (outcome === 'stored') Object.assign(this.#jobOf(job), { queue, acceptedMs: atMs });
-    else this.#jobOf(job).queue = queue;
+    if (outcome === 'stored') Object.assign(this.#getOrAddJob(job), { queue, acceptedMs: atMs });
+    else this.#getOrAddJob(job).queue = queue;
     return true;
   }
 
-  #ended({ job, state, tookMs, objectiveMs }: Fields): boolean {
+  #addJobEnd({ job, state, tookMs, objectiveMs }: Fields): boolean {
     if (!job || !state) return false;
-    const life = this.#jobOf(job);
+    const record = this.#getOrAddJob(job);
     if (state === 'completed') {
-      life.outcome = Number(tookMs) <= Number(objectiveMs) ? 'inTime' : 'late';
-    } else if (state === 'failed' || state === 'cancelled') life.outcome = state;
+      record.outcome = Number(tookMs) <= Number(objectiveMs) ? 'inTime' : 'late';
+    } else if (state === 'failed' || state === 'cancelled') record.outcome = state;
     return true;
   }
 
-  #bound(atMs: number, { task, run, waitMs, keptBy }: Fields): boolean {
+  #addBinding(atMs: number, { task, run, waitMs, keptBy }: Fields): boolean {
     if (!task || !run || !waitMs || !keptBy) return false;
     this.#bindings.push({ atMs, task, run: Number(run), waitMs: Number(waitMs), keptBy });
     return true;
   }
 
-  #stopped({ task, run, reason, lostCpuMs }: Fields): boolean {
+  #addStop({ task, run, reason, lostCpuMs }: Fields): boolean {
     if (!task || !run || !reason || !lostCpuMs) return false;
     const key = `${task} ${run}`;
     if (!this.#stops.has(key)) {
@@ -166,12 +172,12 @@
     return true;
   }
 
-  #jobOf(id: string): JobLife {
-    const known = this.#jobs.get(id);
-    if (known) return known;
-    const life = { queue: UNKNOWN_QUEUE, acceptedMs: NaN, outcome: 'unfinished' as const };
-    this.#jobs.set(id, life);
-    return life;
+  #getOrAddJob(id: string): JobRecord {
+    const existing = this.#jobs.get(id);
+    if (existing) return existing;
+    const record = { queue: UNKNOWN_QUEUE, acceptedMs: NaN, outcome: 'unfinished' as const };
+    this.#jobs.set(id, record);
+    return record;
   }
 
   #queueOf(jobId: string): string {
@@ -190,11 +196,11 @@
       key(this.#queueOf(jobIdOf(task)), atMs),
     );
     const keys = [...new Set([...jobs.keys(), ...bindings.keys()])].sort();
-    return keys.map((text) => {
-      const [from = '', queue = ''] = text.split(' ');
-      const counts = outcomesOf(jobs.get(text) ?? []);
-      const bound = bindings.get(text) ?? [];
-      return { queue, from, ...counts, ...waitsOf(bound), runsPerTask: runsPerTask(bound) };
+    return keys.map((groupKey) => {
+      const [from = '', queue = ''] = groupKey.split(' ');
+      const counts = countOutcomes(jobs.get(groupKey) ?? []);
+      const bound = bindings.get(groupKey) ?? [];
+      return { queue, from, ...counts, ...waitPercentiles(bound), runsPerTask: runsPerTask(bound) };
     });
   }
 
@@ -203,10 +209,10 @@
       this.#bindings,
       ({ task, keptBy }) => `${this.#queueOf(jobIdOf(task))} ${keptBy}`,
     );
-    return [...groups.keys()].sort().map((text) => {
-      const [queue = '', keptBy = ''] = text.split(' ');
-      const bound = groups.get(text)!;
-      return { queue, keptBy, bindings: bound.length, ...waitsOf(bound) };
+    return [...groups.keys()].sort().map((groupKey) => {
+      const [queue = '', keptBy = ''] = groupKey.split(' ');
+      const bound = groups.get(groupKey)!;
+      return { queue, keptBy, bindings: bound.length, ...waitPercentiles(bound) };
     });
   }
 
@@ -215,16 +221,16 @@
       this.#stops.values(),
       ({ jobId, reason }) => `${this.#queueOf(jobId)} ${reason}`,
     );
-    return [...groups.keys()].sort().map((text) => {
-      const [queue = '', reason = ''] = text.split(' ');
-      const stops = groups.get(text)!;
+    return [...groups.keys()].sort().map((groupKey) => {
+      const [queue = '', reason = ''] = groupKey.split(' ');
+      const stops = groups.get(groupKey)!;
       const lostCpuMs = stops.reduce((sum, stop) => sum + stop.lostCpuMs, 0);
       return { queue, reason, stops: stops.length, lostCpuS: Math.round(lostCpuMs / 1_000) };
     });
   }
 }
 
-/** The names of tasks begin with the id of their job. */
+/** Returns the id of a task's job, which is the first part of the task's name. */
 function jobIdOf(task: string): string {
   return task.split('.', 1)[0]!;
 }
@@ -240,18 +246,19 @@
   return groups;
 }
 
-function outcomesOf(jobs: readonly JobLife[]): Record<JobOutcome, number> & { jobs: number } {
+function countOutcomes(jobs: readonly JobRecord[]): Record<JobOutcome, number> & { jobs: number } {
   const counts = { inTime: 0, late: 0, failed: 0, cancelled: 0, unfinished: 0 };
   for (const { outcome } of jobs) counts[outcome] += 1;
   return { jobs: jobs.length, ...counts };
 }
 
-function waitsOf(
+function waitPercentiles(
   bindings: readonly Binding[],
 ): Pick<WindowRow, 'waitP50Ms' | 'waitP90Ms' | 'waitP99Ms'> {
   const waits = bindings.map(({ waitMs }) => waitMs).sort((a, b) => a - b);
-  const at = (share: number): number => waits[Math.ceil(share * waits.length) - 1] ?? 0;
-  return { waitP50Ms: at(0.5), waitP90Ms: at(0.9), waitP99Ms: at(0.99) };
+  const percentile = (fraction: number): number =>
+    waits[Math.ceil(fraction * waits.length) - 1] ?? 0;
+  return { waitP50Ms: percentile(0.5), waitP90Ms: percentile(0.9), waitP99Ms: percentile(0.99) };
 }
 
 function runsPerTask(bindings: readonly Binding[]): number {
--- a/packages/cli/src/internal/manifest-diff.ts
+++ b/packages/cli/src/internal/manifest-diff.ts
@@ -1,7 +1,7 @@
 import type { HostView, Manifest, Resources, TaskView } from '@redwingcrank/protocol';
 import { NO_RESOURCES, RESOURCE_KINDS, addResources, fits } from '@redwingcrank/protocol';
 
-/** One line of the difference between two manifests, or of what it would do. */
+/** One line of the difference between two manifests, or of its predicted effects. */
 export interface DiffLine {
   readonly kind: 'add' | 'remove' | 'change' | 'start' | 'stop' | 'refuse' | 'warn';
   readonly subject: string;
@@ -19,31 +19,32 @@
 });
 
 function* diffLists(
-  what: string,
+  itemType: string,
   before: readonly Named[],
   after: readonly Named[],
 ): Generator<DiffLine> {
-  const old = new Map(before.map((item) => [item.name, item]));
+  const remaining = new Map(before.map((item) => [item.name, item]));
   for (const item of after) {
-    const known = old.get(item.name);
-    const subject = `${what} ${item.name}`;
-    if (!known) yield { kind: 'add', subject, detail: '' };
-    else yield* diffFields(subject, known, item);
-    old.delete(item.name);
+    const previous = remaining.get(item.name);
+    const subject = `${itemType} ${item.name}`;
+    if (!previous) yield { kind: 'add', subject, detail: '' };
+    else yield* diffFields(subject, previous, item);
+    remaining.delete(item.name);
   }
-  for (const name of old.keys()) yield { kind: 'remove', subject: `${what} ${name}`, detail: '' };
+  for (const name of remaining.keys())
+    yield { kind: 'remove', subject: `${itemType} ${name}`, detail: '' };
 }
 
 function* diffFields(subject: string, before: object, after: object): Generator<DiffLine> {
-  const old = before as Record<string, unknown>;
-  const fresh = after as Record<string, unknown>;
-  for (const key of new Set([...Object.keys(old), ...Object.keys(fresh)])) {
-    const [from, to] = [JSON.stringify(old[key]), JSON.stringify(fresh[key])];
+  const oldFields = before as Record<string, unknown>;
+  const newFields = after as Record<string, unknown>;
+  for (const key of new Set([...Object.keys(oldFields), ...Object.keys(newFields)])) {
+    const [from, to] = [JSON.stringify(oldFields[key]), JSON.stringify(newFields[key])];
     if (from !== to) yield { kind: 'change', subject, detail: `${key}: ${from} -> ${to}` };
   }
 }
 
-/** What differs between the manifest in force, if any, and the one that would replace it. */
+/** Yields the differences between the manifest in force, if any, and its replacement. */
 export function* diffManifests(
   before: Manifest | undefined,
   after: Manifest,
@@ -56,29 +57,36 @@
   yield* diffLists('job', before?.jobs ?? [], after.jobs);
 }
 
-/** What a data centre holds at present. */
+/** The current hosts and tasks of a data centre. */
 export interface DataCentreState {
   readonly dataCentre: string;
   readonly hosts: readonly HostView[];
   readonly tasks: readonly TaskView[];
 }
 
-/** What the manifest would start, stop, or never be able to run in one data centre. */
+/**
+ * Yields what the manifest would start and stop in one data centre, the tasks that fit on none of
+ * its hosts, and a warning if all tasks together exceed the capacity of its live hosts.
+ */
 export function* predictChanges(
   after: Manifest,
   state: DataCentreState,
 ): Generator<DiffLine, void> {
   const { dataCentre, hosts, tasks } = state;
   const active = tasks.filter((task) => task.state !== 'ended');
-  const wanted = wantedIn(after, dataCentre);
-  const names = new Set(wanted.map(({ name }) => name));
+  const desired = desiredTasksIn(after, dataCentre);
+  const names = new Set(desired.map(({ name }) => name));
   for (const task of active.filter(({ owner }) => !names.has(owner))) {
-    yield { kind: 'stop', subject: task.taskId, detail: `${task.owner} is no longer wanted` };
+    yield {
+      kind: 'stop',
+      subject: task.taskId,
+      detail: `${task.owner} is not in the new manifest for this data centre`,
+    };
   }
-  for (const { name, resources, count, once } of wanted) {
-    const own = tasks.filter((task) => task.owner === name);
-    const completed = own.filter((task) => task.outcome === 'completed').length;
-    const running = own.filter((task) => task.state !== 'ended').length;
+  for (const { name, resources, count, once } of desired) {
+    const ownTasks = tasks.filter((task) => task.owner === name);
+    const completed = ownTasks.filter((task) => task.outcome === 'completed').length;
+    const running = ownTasks.filter((task) => task.state !== 'ended').length;
     const missing = count - running - (once ? completed : 0);
     const subject = `${name} in ${dataCentre}`;
     if (missing > 0) yield { kind: 'start', subject, detail: `${missing} tasks` };
@@ -88,17 +96,17 @@
       yield { kind: 'refuse', subject, detail };
     }
   }
-  yield* foreseeRoom(wanted, state);
+  yield* predictCapacityShortage(desired, state);
 }
 
-interface Wanted extends Named {
+interface DesiredTasks extends Named {
   readonly resources: Resources;
   readonly count: number;
-  /** Whether a task that completed is done for good. */
+  /** Whether a completed task is not started again: true for jobs, false for services. */
   readonly once: boolean;
 }
 
-function wantedIn(manifest: Manifest, dataCentre: string): Wanted[] {
+function desiredTasksIn(manifest: Manifest, dataCentre: string): DesiredTasks[] {
   const services = manifest.services.map(({ name, resources, replicas }) => {
     return { name, resources, count: replicas[dataCentre] ?? 0, once: false };
   });
@@ -108,19 +116,19 @@
   return [...services, ...jobs];
 }
 
-function* foreseeRoom(
-  wanted: readonly Wanted[],
+function* predictCapacityShortage(
+  desired: readonly DesiredTasks[],
   { dataCentre, hosts }: DataCentreState,
 ): Generator<DiffLine> {
   const sum = (all: readonly Resources[]): Resources => all.reduce(addResources, NO_RESOURCES);
-  const asked = sum(wanted.map(({ resources, count }) => scaled(resources, count)));
-  const there = sum(hosts.filter((host) => host.state === 'live').map((host) => host.capacity));
-  if (fits(asked, there)) return;
-  const detail = `all tasks together ask for ${describe(asked)}, its hosts have ${describe(there)}`;
-  yield { kind: 'warn', subject: dataCentre, detail: `${detail}: some will wait` };
+  const requested = sum(desired.map(({ resources, count }) => scaled(resources, count)));
+  const available = sum(hosts.filter((host) => host.state === 'live').map((host) => host.capacity));
+  if (fits(requested, available)) return;
+  const detail = `all tasks need ${describe(requested)}, live hosts have ${describe(available)}`;
+  yield { kind: 'warn', subject: dataCentre, detail: `${detail}: some tasks will wait` };
 }
 
-/** Teams whose services and jobs together ask for more than the quota. */
+/** Yields a warning for each team whose services and jobs together exceed its quota. */
 export function* predictQuotaOverruns(after: Manifest): Generator<DiffLine, void> {
   for (const team of after.teams) {
     const services = after.services
@@ -132,9 +140,9 @@
     const jobs = after.jobs
       .filter((job) => job.team === team.name)
       .map(({ resources, tasks }) => scaled(resources, tasks));
-    const asked = [...services, ...jobs].reduce(addResources, NO_RESOURCES);
-    if (!fits(asked, team.quota)) {
-      const detail = `asks for ${describe(asked)}, its quota is ${describe(team.quota)}`;
+    const requested = [...services, ...jobs].reduce(addResources, NO_RESOURCES);
+    if (!fits(requested, team.quota)) {
+      const detail = `needs ${describe(requested)}, its quota is ${describe(team.quota)}`;
       yield { kind: 'warn', subject: `team ${team.name}`, detail };
     }
   }
--- a/packages/cli/src/internal/publish-manifest.ts
+++ b/packages/cli/src/internal/publish-manifest.ts
@@ -8,7 +8,7 @@
 import type { Output } from './output.js';
 
 const LOG_TIMEOUT_MS = 5_000;
-const POLL_MS = 100;
+const POLL_INTERVAL_MS = 100;
 
 export interface PublishOptions {
   readonly manifest: Manifest;
@@ -18,17 +18,18 @@
   readonly out: Output;
 }
 
-/** How far a node is: the version it reports, or undefined where it does not answer. */
+/** The manifest version that a node reports, or undefined if it does not answer. */
 interface NodeProgress {
   readonly address: string;
   readonly version: number | undefined;
 }
 
 /**
- * Appends the manifest and waits until every node reports it in force.
+ * Appends the manifest to the log and waits until every node reports it in force.
  *
- * @throws CodedError (202) where another manifest won, (201) where the nodes find it invalid,
- *   (103) where some nodes lag, (401) where it is not known to be on the log.
+ * @throws CodedError (202) if another manifest was accepted first, (201) if the nodes find it
+ *   invalid, (103) if it is not in force on every node when the waiting time is over, (401) if it
+ *   is not known to be on the log.
  */
 export async function publish(options: PublishOptions): Promise<void> {
   const { manifest, logUrl, nodes, out } = options;
@@ -56,9 +57,9 @@
 }
 
 /**
- * Appends the record once. Where the answer is lost the record may be on the log all the same: a
- * second append would be rejected as a conflict with the first, which would look like a lost race.
- * So the record is looked for, and never appended again.
+ * Appends the record at most once. If the answer is lost, the record may be on the log
+ * nevertheless, and a second append would be rejected as a conflict with the first, which would
+ * look like a lost race. So a failed append is not repeated; the log is searched for the record.
  */
 async function appendOnce(log: PlatformLog, record: IdentifiedRecord): Promise<number> {
   try {
@@ -67,7 +68,7 @@
     const offset = await findRecord(log, record.id).catch(() => undefined);
     if (offset !== undefined) return offset;
     const reason = err instanceof Error ? err.message : String(err);
-    const advice = 'it may still be on the log: see status before publishing it again';
+    const advice = 'the manifest may still be on the log: check status before publishing it again';
     throw new CodedError('logUnavailable', `${reason}\n${advice}`);
   }
 }
@@ -76,28 +77,30 @@
   let from = 0;
   for (;;) {
     const page = await log.read(MANIFEST_STREAM, from, 0);
-    const found = page.entries.find(({ value }) => (value as { id?: unknown } | null)?.id === id);
-    if (found) return found.offset;
+    const entry = page.entries.find(({ value }) => (value as { id?: unknown } | null)?.id === id);
+    if (entry) return entry.offset;
     if (page.entries.length === 0) return undefined;
     from = page.next;
   }
 }
 
-/** Waits for the nodes and returns those that are behind when time is up. */
+/** Waits for the nodes and returns those that are still behind when the waiting time is over. */
 async function waitForNodes(options: PublishOptions, id: string): Promise<NodeProgress[]> {
   const { nodes, manifest, waitMs, out } = options;
-  const end = performance.now() + waitMs;
-  let told = -1;
+  const endMs = performance.now() + waitMs;
+  let lastReported = -1;
   for (;;) {
     const behind = await nodesBehind(options, id);
     const done = nodes.length - behind.length;
-    if (done !== told && behind.length > 0) {
-      const waiting = behind.map(({ address }) => address).join(', ');
-      out.line(`version ${manifest.version}: ${done} of ${nodes.length} nodes, not yet ${waiting}`);
-      told = done;
+    if (done !== lastReported && behind.length > 0) {
+      const addresses = behind.map(({ address }) => address).join(', ');
+      out.line(
+        `version ${manifest.version}: ${done} of ${nodes.length} nodes, waiting for ${addresses}`,
+      );
+      lastReported = done;
     }
-    if (behind.length === 0 || performance.now() >= end) return behind;
-    await wait(POLL_MS);
+    if (behind.length === 0 || performance.now() >= endMs) return behind;
+    await wait(POLL_INTERVAL_MS);
   }
 }
 
--- a/packages/cli/src/internal/read-manifest-file.ts
+++ b/packages/cli/src/internal/read-manifest-file.ts
@@ -2,9 +2,13 @@
 import type { Manifest } from '@redwingcrank/protocol';
 import { InvalidInputError, readManifest } from '@redwingcrank/protocol';
 
-const FOUND_LIMIT = 80;
+const MAX_EXCERPT_LENGTH = 80;
 
-/** @throws InvalidInputError (201) with every fault of the file. */
+/**
+ * Reads and validates a manifest file.
+ *
+ * @throws InvalidInputError (201) with every fault of the file.
+ */
 export async function readManifestFile(path: string): Promise<Manifest> {
   const text = await readFile(path, 'utf8').catch((err: Error) => {
     throw new InvalidInputError('manifestInvalid', [
@@ -20,7 +24,7 @@
   try {
     return JSON.parse(text);
   } catch (err) {
-    const found = `${text.slice(0, FOUND_LIMIT)} (${(err as Error).message})`;
+    const found = `${text.slice(0, MAX_EXCERPT_LENGTH)} (${(err as Error).message})`;
     throw new InvalidInputError('manifestInvalid', [{ path, expected: 'JSON', found }]);
   }
 }
--- a/packages/cli/src/internal/run-cli.ts
+++ b/packages/cli/src/internal/run-cli.ts
@@ -16,7 +16,7 @@
 import { Why } from './commands/why.js';
 import { Output } from './output.js';
 
-/** What the process ends with; docs/OPERATIONS.md lists the same. */
+/** The exit codes of the process; docs/OPERATIONS.md has the same list. */
 export const EXIT_CODES = {
   done: 0,
   refused: 1,
@@ -27,7 +27,7 @@
 
 type AnyCommand = Command;
 
-/** Every command, in the order of the help text. */
+/** All commands, in the order of the help text. */
 export const COMMANDS: readonly AnyCommand[] = [
   new Validate(),
   new Publish(),
@@ -83,7 +83,9 @@
 function parser(argv: readonly string[]) {
   const top = yargs([...argv])
     .scriptName('redwingcrank')
-    .usage('$0 <command>\n\nEvery flag can be a variable: --log-url is REDWINGCRANK_LOG_URL.')
+    .usage(
+      '$0 <command>\n\nEvery flag can be set by a variable: --log-url by REDWINGCRANK_LOG_URL.',
+    )
     .parserConfiguration(YARGS_PARSING)
     .options(yargsOptions(COMMON_OPTIONS));
   for (const command of COMMANDS) {
@@ -92,16 +94,19 @@
       command.summary,
       (y) => {
         command.positionals.forEach((name) => y.positional(name, { type: 'string' }));
-        command.examples.forEach(([line, what]) => y.example(`$0 ${line}`, what));
+        command.examples.forEach(([line, description]) => y.example(`$0 ${line}`, description));
         return y.options(yargsOptions(command.options));
       },
       (args) => runCommand(command, args),
     );
   }
   return top
-    .completion('completion', 'Print a script for completion: redwingcrank completion >> ~/.bashrc')
+    .completion(
+      'completion',
+      'Print a shell completion script: redwingcrank completion >> ~/.bashrc',
+    )
     .epilogue('Exit codes: 0 done, 1 refused, 2 wrong usage, 3 unreachable, 4 not yet in force.')
-    .demandCommand(1, 'Name a command; --help lists them.')
+    .demandCommand(1, 'A command is required; --help lists them.')
     .strictCommands()
     .exitProcess(false)
     .fail((message, err) => {
@@ -116,8 +121,9 @@
   const { layers, faults } = readLayers(options, Object.fromEntries(flags));
   const input = { ...layers.values, ...positionals };
   const reading = command.schema.safeParse(input);
-  const all = [...faults, ...(reading.success ? [] : faultsOf(reading.error, input))];
-  if (!reading.success || all.length > 0) throw new InvalidInputError('badSettings', all);
+  const allFaults = [...faults, ...(reading.success ? [] : faultsOf(reading.error, input))];
+  if (!reading.success || allFaults.length > 0)
+    throw new InvalidInputError('badSettings', allFaults);
   const out = new Output(reading.data.json);
   if (layers.values.printConfig === true) {
     [...describeSettings(options, layers)].forEach((line) => process.stdout.write(`${line}\n`));
@@ -128,7 +134,7 @@
 
 function readLayers(options: SettingOptions, args: Record<string, unknown>) {
   const layers = layerSettings({ options, args, env: process.env });
-  // One environment may hold the settings of a node as well, so variables are not complained of.
+  // The environment may also hold the settings of a node, so unknown variables are no faults.
   const faults: Fault[] = layers.faults.filter(({ path }) => path === 'flags');
   return { layers, faults };
 }
--- a/packages/cli/src/test/log-summary_test.ts
+++ b/packages/cli/src/test/log-summary_test.ts
@@ -5,9 +5,9 @@
 const WINDOW_MS = 10_000;
 
 function summaryOf(lines: readonly string[]) {
-  const sums = new LogSummary(WINDOW_MS);
-  for (const text of lines) sums.add(text);
-  return sums.summary();
+  const logSummary = new LogSummary(WINDOW_MS);
+  for (const text of lines) logSummary.add(text);
+  return logSummary.summary();
 }
 
 function line(second: number, event: string, fields: string): string {
@@ -15,7 +15,7 @@
   return `at=${at} level=info node=n1 event=${event} ${fields}`;
 }
 
-test('jobs count in the window in which they were accepted, by how they came out', () => {
+test('jobs count by outcome in the window in which they were accepted', () => {
   const accepted = ['a', 'b', 'c', 'd'].map((job) =>
     line(1, 'submit', `job=${job} queue=q outcome=stored`),
   );
@@ -31,7 +31,7 @@
   assert.deepEqual([jobs, inTime, late, failed, unfinished], [4, 1, 1, 1, 1]);
 });
 
-test('waits and runs are those of the bindings, with what kept the tasks', () => {
+test('waits and runs per task come from the bindings, and waits are grouped by cause', () => {
   const { windows, waits } = summaryOf([
     line(1, 'submit', 'job=a queue=q outcome=stored'),
     line(2, 'bound', 'task=a.0.0.0 run=1 waitMs=100 keptBy=slack'),
@@ -49,7 +49,7 @@
   );
 });
 
-test('a stop that is sent again counts once, with the work that it throws away', () => {
+test('a stop that is sent again counts once, with the work lost by the first stop', () => {
   const { stops } = summaryOf([
     line(1, 'submit', 'job=a queue=q outcome=stored'),
     line(2, 'task-stop', 'task=a.0.0.0 run=1 reason=halted lostCpuMs=2000'),
@@ -58,13 +58,13 @@
   assert.deepEqual(stops, [{ queue: 'q', reason: 'halted', stops: 1, lostCpuS: 2 }]);
 });
 
-test('lines that are cut or foreign are skipped and counted, and a prefix is passed over', () => {
-  const whole = line(1, 'submit', 'job=a queue=q outcome=stored');
+test('truncated and foreign lines are skipped and counted, and a prefix is ignored', () => {
+  const complete = line(1, 'submit', 'job=a queue=q outcome=stored');
   const { lines, skipped, windows } = summaryOf([
-    `n1 | ${whole}`,
+    `n1 | ${complete}`,
     'Segmentation fault',
     line(2, 'bound', 'task=a.0.0'),
-    whole.slice(0, 20),
+    complete.slice(0, 20),
     '',
   ]);
   assert.deepEqual([lines, skipped], [4, 3]);
--- a/packages/cli/src/test/manifest-diff_test.ts
+++ b/packages/cli/src/test/manifest-diff_test.ts
@@ -57,7 +57,7 @@
 const brief = (lines: Iterable<DiffLine>): string[] =>
   [...lines].map(({ kind, subject }) => `${kind} ${subject}`);
 
-test('a dry run names what is added, removed and changed, field by field', () => {
+test('a dry run lists what is added, removed and changed, field by field', () => {
   const before = manifest({ services: [service(1)] });
   const after = manifest({
     services: [service(3)],
@@ -72,7 +72,7 @@
   ]);
 });
 
-test('a dry run names what would start, stop, wait or never fit', () => {
+test('a dry run lists what would start, stop, wait or never fit', () => {
   assert.deepEqual(brief(predictChanges(manifest({ services: [service(3)] }), state)), [
     'stop dc1/old/0',
     'start booking in dc1',
--- a/packages/cli/src/test/output_test.ts
+++ b/packages/cli/src/test/output_test.ts
@@ -16,7 +16,7 @@
   return text;
 }
 
-test('a table fits the terminal, whatever its cells hold', () => {
+test('a table fits the terminal even if the text of its cells is longer', () => {
   const lines = printed({ isTTY: true, columns: COLUMNS }, { NO_COLOR: '1' }).split('\n');
   assert.ok(
     lines.every((line) => line.length <= COLUMNS),
@@ -24,19 +24,19 @@
   );
 });
 
-test('a pipe gets every cell whole and no colour', () => {
+test('output to a pipe has every cell in full and no colour', () => {
   const text = printed({});
   assert.ok(text.includes('w'.repeat(50)));
   assert.ok(!text.includes(ESCAPE));
 });
 
-test('colour only on a terminal, and never with NO_COLOR', () => {
+test('colour is used only on a terminal, and never with NO_COLOR', () => {
   const terminal = { isTTY: true, columns: COLUMNS };
   assert.ok(printed(terminal).includes(ESCAPE));
   assert.ok(!printed(terminal, { NO_COLOR: '1' }).includes(ESCAPE));
 });
 
-test('a script gets JSON alone', () => {
+test('JSON mode prints nothing but JSON', () => {
   const [row] = JSON.parse(printed({ isTTY: true, columns: 20 }, {}, true)) as { state: string }[];
   assert.equal(row?.state, 'running');
 });
--- a/packages/cli/src/test/pipe_test.ts
+++ b/packages/cli/src/test/pipe_test.ts
@@ -7,7 +7,7 @@
 
 const MAIN = path.join(import.meta.dirname, '..', 'main.js');
 
-test('a reader that leaves ends a command quietly', () => {
+test('a command ends without an error message when the reader closes the pipe', () => {
   // `redwingcrank codes | head -1`: the reader closes the pipe while the command still writes.
   const command = `"${process.execPath}" "${MAIN}" codes | head -n 1`;
   const { stdout, stderr } = spawnSync('sh', ['-c', command], { encoding: 'utf8' });
@@ -15,7 +15,7 @@
   assert.equal(stderr, '');
 });
 
-test('trace tells one story of a job from the logs of several nodes', () => {
+test('trace merges the lines of a job from the logs of several nodes in the order of time', () => {
   const directory = mkdtempSync(path.join(tmpdir(), 'redwingcrank-'));
   const first = path.join(directory, 'n1.log');
   const second = path.join(directory, 'n2.log');
--- a/packages/cli/src/test/run-cli_test.ts
+++ b/packages/cli/src/test/run-cli_test.ts
@@ -5,12 +5,12 @@
 import { test } from 'node:test';
 import { EXIT_CODES, runCli } from '../index.js';
 
-/** No listener is on this port: it is never given out. */
-const NOBODY = '127.0.0.1:1';
+/** An address without a listener: port 1 is never assigned. */
+const UNUSED_ADDRESS = '127.0.0.1:1';
 
 const EXAMPLE = new URL('../../../../examples/demo.json', import.meta.url).pathname;
 
-test('the exit code tells a script what happened', async () => {
+test('the exit code tells success, refusal, wrong usage and unreachable nodes apart', async () => {
   const dir = await mkdtemp(join(tmpdir(), 'redwingcrank-'));
   const bad = join(dir, 'bad.json');
   await writeFile(bad, '{ "apiVersion": 1');
@@ -22,17 +22,20 @@
     [['validate', bad], 'refused'],
     [['validate', join(dir, 'missing.json')], 'refused'],
     [['validate', EXAMPLE, '--colour=red'], 'usage'],
-    [['why', 'no-task', '--nodes', NOBODY], 'usage'],
+    [['why', 'no-task', '--nodes', UNUSED_ADDRESS], 'usage'],
     [['tasks'], 'usage'],
     [['trace', '--summary', `--file=${empty}`], 'usage'],
     [['trace', '--summary', `--file=${join(dir, 'missing.log')}`], 'usage'],
     [['trace', '0123456789abcdef', '--summary', `--file=${empty}`], 'usage'],
     [['trace', `--file=${empty}`], 'usage'],
-    [['publish', EXAMPLE, '--nodes', NOBODY, '--wait-ms=soon'], 'usage'],
+    [['publish', EXAMPLE, '--nodes', UNUSED_ADDRESS, '--wait-ms=soon'], 'usage'],
     [['frobnicate'], 'usage'],
-    [['tasks', '--nodes', NOBODY], 'unreachable'],
-    [['status', '--nodes', NOBODY], 'unreachable'],
-    [['publish', EXAMPLE, '--nodes', NOBODY, '--log-url', `http://${NOBODY}`], 'unreachable'],
+    [['tasks', '--nodes', UNUSED_ADDRESS], 'unreachable'],
+    [['status', '--nodes', UNUSED_ADDRESS], 'unreachable'],
+    [
+      ['publish', EXAMPLE, '--nodes', UNUSED_ADDRESS, '--log-url', `http://${UNUSED_ADDRESS}`],
+      'unreachable',
+    ],
   ];
   for (const [argv, expected] of cases) {
     assert.equal(await runCli(argv), EXIT_CODES[expected], argv.join(' '));
