--- a/packages/fuzz/src/jobs/final-loss.ts
+++ b/packages/fuzz/src/jobs/final-loss.ts
@@ -1,11 +1,11 @@
 import { SILENT_WORKER_MS } from '@redwingcrank/runtime/leases';
-import type { CalmPhase } from './calm-phase.js';
-import { ALL_BACK_MS } from './calm-phase.js';
+import type { RecoveryPhase } from './recovery-phase.js';
+import { FULL_RECOVERY_MS } from './recovery-phase.js';
 import type { JobsWorld } from './jobs-world.js';
-import { CALM_STEP_MS } from './lease-figures.js';
+import { RECOVERY_STEP_MS } from './downtime-bounds.js';
 import type { ModelWorker } from './model-worker.js';
 
-/** What is lost in the calm, and how. */
+/** The failures that may occur during the recovery phase. */
 export const LOSSES = [
   'vanish',
   'leave',
@@ -28,26 +28,26 @@
 
 export type Loss = (typeof LOSSES)[number];
 
-/** A lost leader is replaced after so long, in milliseconds. */
+/** The time until a lost leader is replaced, in milliseconds. */
 const TAKEOVER_MS = 2_000;
 
-/** A leader that is started again schedules after so long, in milliseconds. */
+/** The time until a restarted leader schedules again, in milliseconds. */
 const RESTART_MS = 1_000;
 
-/** A leader that is lost right after it has taken over has been at it for so long, in ms. */
+/** The term of a leader that is lost right after it has taken over, in milliseconds. */
 const SHORT_TERM_MS = 500;
 
-/** A worker announces that it leaves so long before it does, in milliseconds. */
+/** How long before it leaves a worker announces that, in milliseconds. */
 const LEAVING_MS = 4_000;
 
-/** The store takes no append for so long, in milliseconds. */
+/** How long the store accepts no append, in milliseconds. */
 const OUTAGE_MS = 3_000;
 
-/** Carries out one loss in a calm world; whatever was at work must be at work again in time. */
+/** Causes one failure in the recovery phase; all tasks that ran must run again in time. */
 export class FinalLoss {
   readonly #world: JobsWorld;
 
-  readonly #calm: CalmPhase;
+  readonly #recovery: RecoveryPhase;
 
   readonly #worker: ModelWorker;
 
@@ -71,51 +71,51 @@
     'unheard-worker': () => this.#loseAnswers(),
   };
 
-  /** The worker that it meets is the busiest, of equals the one that `index` leads to. */
-  constructor(world: JobsWorld, calm: CalmPhase, index: number) {
+  /** The affected worker is the busiest one; among equals the first one from `index` on. */
+  constructor(world: JobsWorld, recovery: RecoveryPhase, index: number) {
     this.#world = world;
-    this.#calm = calm;
-    this.#worker = calm.busiest(index);
+    this.#recovery = recovery;
+    this.#worker = recovery.busiest(index);
   }
 
   run(loss: Loss): void {
     this.#world.coverage.hit(`lost: ${loss}`);
     this.#losses[loss]();
-    this.#calm.act(LEAVING_MS + ALL_BACK_MS);
+    this.#recovery.advance(LEAVING_MS + FULL_RECOVERY_MS);
   }
 
   get #id(): string {
     return this.#worker.entry.id;
   }
 
-  /** The first stops are lost; there is time for more. */
+  /** The first stop orders are lost, but there is time to send more. */
   #leave(): void {
     this.#leaveUnstopped();
-    this.#calm.act(LEAVING_MS / 4);
-    this.#calm.unstopped = '';
-    this.#calm.act((LEAVING_MS * 3) / 4 - CALM_STEP_MS);
+    this.#recovery.advance(LEAVING_MS / 4);
+    this.#recovery.workerWithoutStops = '';
+    this.#recovery.advance((LEAVING_MS * 3) / 4 - RECOVERY_STEP_MS);
     this.#world.oracle.checkEvacuated(this.#id);
   }
 
   /** The worker announces that it leaves, and no stop order reaches it. */
   #leaveUnstopped(): void {
-    this.#calm.unstopped = this.#id;
+    this.#recovery.workerWithoutStops = this.#id;
     this.#world.leave(this.#worker, LEAVING_MS, true);
   }
 
-  /** Stops need nothing stored, so they go out while an append gets no answer. */
+  /** Stop orders need no stored record, so they are sent while an append is unanswered. */
   #leaveUnstored(): void {
-    this.#world.round(this.#world.present, 'unanswered');
-    this.#calm.isStoring = true;
+    this.#world.round(this.#world.currentLeader, 'unanswered');
+    this.#recovery.isAppendPending = true;
     this.#world.leave(this.#worker, LEAVING_MS, true);
-    this.#calm.act(LEAVING_MS / 2);
+    this.#recovery.advance(LEAVING_MS / 2);
     this.#world.oracle.checkEvacuated(this.#id);
-    this.#calm.isStoring = false;
+    this.#recovery.isAppendPending = false;
   }
 
   #leaveWithLeader(): void {
     this.#leaveUnstopped();
-    this.#calm.act(LEAVING_MS / 2);
+    this.#recovery.advance(LEAVING_MS / 2);
     this.#replaceLeader();
   }
 
@@ -126,139 +126,143 @@
 
   #vanishWithTwoLeaders(): void {
     this.#vanishWithLeader();
-    this.#calm.act(SHORT_TERM_MS);
+    this.#recovery.advance(SHORT_TERM_MS);
     this.#replaceLeader();
   }
 
   #vanishWithRestartedLeader(): void {
     this.#world.vanish(this.#worker);
-    this.#calm.loseLeader(RESTART_MS);
+    this.#recovery.loseLeader(RESTART_MS);
     this.#world.restartLeader();
   }
 
   /**
-   * The leader is frozen when it has stored a start and not sent it, and wakes when the next one,
-   * which does not reach that worker, has long started the task elsewhere.
+   * The leader is frozen after it has stored a start but not sent it. It wakes long after the next
+   * leader, which does not reach that worker, has started the task elsewhere.
    */
   #freezeLeader(): void {
     const world = this.#world;
-    const frozen = world.present;
+    const frozen = world.currentLeader;
     world.end(this.#worker, 0, 'failed');
     world.renew(frozen, this.#worker, 'answered');
     world.round(frozen, 'answered');
     this.#replaceLeader();
-    for (const { order } of frozen.inFlight) world.present.unreachable.add(order.worker);
-    this.#calm.act(ALL_BACK_MS);
-    Object.assign(frozen, { isOver: false });
+    for (const { order } of frozen.inFlight) world.currentLeader.unreachable.add(order.worker);
+    this.#recovery.advance(FULL_RECOVERY_MS);
+    Object.assign(frozen, { hasEnded: false });
     for (const sent of [...frozen.inFlight]) frozen.resend(sent, world.nowMs);
     while (frozen.inFlight.length > 0) world.deliver(frozen, 0, false);
   }
 
-  /** The leader does not know that it is replaced, and alone reaches the worker. */
+  /** The leader does not know that it is replaced, and is the only one to reach the worker. */
   #isolateLeader(): void {
-    this.#calm.leaderGoes();
-    this.#leaveNothingElse();
+    this.#recovery.expectNewLeader();
+    this.#cutOtherWorkers();
     this.#world.elect();
-    this.#cutOff();
+    this.#cutWorker();
   }
 
-  /** The leader does not know that its resignation is stored, and alone reaches the worker. */
+  /** The leader does not know that its resignation is stored, and is the only one to reach the worker. */
   #resignLeader(): void {
-    this.#calm.leaderGoes();
-    this.#leaveNothingElse();
+    this.#recovery.expectNewLeader();
+    this.#cutOtherWorkers();
     this.#world.resign();
-    this.#cutOff();
+    this.#cutWorker();
   }
 
-  /** From now on the present leader reaches that worker alone: any other would tell it the truth. */
-  #leaveNothingElse(): void {
-    const { workers, present } = this.#world;
-    for (const { entry } of workers) if (entry.id !== this.#id) present.unreachable.add(entry.id);
+  /**
+   * Lets the current leader reach only that worker: any other worker would report to it that it is
+   * replaced.
+   */
+  #cutOtherWorkers(): void {
+    const { workers, currentLeader } = this.#world;
+    for (const { entry } of workers)
+      if (entry.id !== this.#id) currentLeader.unreachable.add(entry.id);
   }
 
-  /** The next life of the leader does not reach a worker that the one before did. */
+  /** The leader's next incarnation does not reach a worker that the previous one reached. */
   #restartLeader(): void {
-    this.#calm.loseLeader(RESTART_MS);
+    this.#recovery.loseLeader(RESTART_MS);
     this.#world.restartLeader();
-    this.#cutOff();
+    this.#cutWorker();
   }
 
   /**
-   * The worker is named as silent. Then it answers again, but the record without its name is not
-   * stored: the next leader, which does not reach the worker, goes by the one that names it.
+   * The leader's record lists the worker as silent. Then the worker answers again, but the record
+   * without it is not stored: the next leader, which does not reach the worker, uses the old record.
    */
   #loseNames(): void {
-    this.#cutOff();
-    this.#calm.act(2 * SILENT_WORKER_MS);
-    this.#world.present.unreachable.delete(this.#id);
-    this.#world.renew(this.#world.present, this.#worker, 'answered');
+    this.#cutWorker();
+    this.#recovery.advance(2 * SILENT_WORKER_MS);
+    this.#world.currentLeader.unreachable.delete(this.#id);
+    this.#world.renew(this.#world.currentLeader, this.#worker, 'answered');
     this.#loseAppend();
     this.#replaceLeader();
-    this.#cutOff();
+    this.#cutWorker();
   }
 
-  /** A leader's first record is lost that lets leases last longer than its claim does. */
+  /** Loses a leader's first record, which allows longer leases than the leader's claim. */
   #loseLengths(): void {
     this.#replaceLeader();
-    this.#world.renew(this.#world.present, this.#worker, 'answered');
+    this.#world.renew(this.#world.currentLeader, this.#worker, 'answered');
     this.#loseAppend();
     this.#replaceLeader();
-    this.#cutOff();
+    this.#cutWorker();
   }
 
-  /** An append is read by others at once, and confirmed to the leader when it is sent again. */
+  /** Other nodes read an append at once; the leader gets the confirmation after sending it again. */
   #answerLate(): void {
-    const { present } = this.#world;
-    this.#world.round(present, 'unanswered');
-    this.#calm.isStoring = true;
-    this.#calm.act(OUTAGE_MS);
-    this.#calm.isStoring = false;
-    this.#world.round(present, 'answered');
-    this.#world.renew(present, this.#worker, 'answered');
+    const { currentLeader } = this.#world;
+    this.#world.round(currentLeader, 'unanswered');
+    this.#recovery.isAppendPending = true;
+    this.#recovery.advance(OUTAGE_MS);
+    this.#recovery.isAppendPending = false;
+    this.#world.round(currentLeader, 'answered');
+    this.#world.renew(currentLeader, this.#worker, 'answered');
     this.#replaceLeader();
-    this.#cutOff();
+    this.#cutWorker();
   }
 
   /**
-   * A node is frozen for long, and what it has not read expires. It knows nothing of how the role
-   * has passed on meanwhile when it takes the role from a leader that has told nothing yet.
+   * A node is frozen for a long time, and the log entries that it has not read expire. It does not
+   * know of the leader changes in between when it takes over from a leader without a record yet.
    */
   #expireLog(): void {
     const world = this.#world;
-    world.freezeNode(world.present.epoch + 2);
-    this.#calm.act(4 * OUTAGE_MS);
-    this.#leaveNothingElse();
+    world.freezeNode(world.currentLeader.epoch + 2);
+    this.#recovery.advance(4 * OUTAGE_MS);
+    this.#cutOtherWorkers();
     world.elect();
-    this.#cutOff();
-    Object.assign(world.present, { isOver: true });
-    this.#calm.act(4 * CALM_STEP_MS);
-    this.#calm.leaderGoes();
+    this.#cutWorker();
+    Object.assign(world.currentLeader, { hasEnded: true });
+    this.#recovery.advance(4 * RECOVERY_STEP_MS);
+    this.#recovery.expectNewLeader();
     world.elect();
-    this.#cutOff();
+    this.#cutWorker();
   }
 
-  /** The worker gets one more renewal, whose answer is lost, and is cut off. */
+  /** Loses the worker's answers to renewals, then disconnects the worker. */
   #loseAnswers(): void {
-    this.#calm.unheard = this.#id;
-    this.#calm.act(SILENT_WORKER_MS);
+    this.#recovery.workerWithoutAnswers = this.#id;
+    this.#recovery.advance(SILENT_WORKER_MS);
     this.#worker.isCut = true;
   }
 
   #loseAppend(): void {
-    this.#world.round(this.#world.present, 'lost');
-    this.#calm.isStoring = true;
-    this.#calm.act(OUTAGE_MS);
-    this.#calm.isStoring = false;
+    this.#world.round(this.#world.currentLeader, 'lost');
+    this.#recovery.isAppendPending = true;
+    this.#recovery.advance(OUTAGE_MS);
+    this.#recovery.isAppendPending = false;
   }
 
-  /** The present leader does not reach the worker. */
-  #cutOff(): void {
-    this.#world.present.unreachable.add(this.#id);
+  /** Cuts the connection between the current leader and the worker. */
+  #cutWorker(): void {
+    this.#world.currentLeader.unreachable.add(this.#id);
   }
 
-  /** The leader's process is gone; another node takes over when that has shown. */
+  /** Ends the leader's process; another node takes over once that has been detected. */
   #replaceLeader(): void {
-    this.#calm.loseLeader(TAKEOVER_MS);
+    this.#recovery.loseLeader(TAKEOVER_MS);
     this.#world.elect();
   }
 }
--- a/packages/fuzz/src/jobs/jobs-oracle.ts
+++ b/packages/fuzz/src/jobs/jobs-oracle.ts
@@ -1,87 +1,93 @@
 import type { EndedRow, JobSpec, Order, WorkerEntry } from '@redwingcrank/jobs';
 import { parseTaskName, taskName } from '@redwingcrank/jobs';
 
-/** Runs of one task that may end as failed before its job is over. */
+/** The number of failed runs of one task after which its job fails. */
 export const MAX_ATTEMPTS = 3;
 
-/** So long after a worker has said that it leaves a task may still begin there, in milliseconds. */
+/** How long after a worker's announcement to leave a task may still start there, in milliseconds. */
 export const DRAIN_MS = 1_500;
 
 interface TaskFacts {
-  /** Workers on which it runs now. */
+  /** Workers on which the task runs now. */
   readonly runningOn: Set<string>;
   isDone: boolean;
-  /** A good end was noted, so no further start is right. */
-  isNoted: boolean;
-  notedFailures: number;
-  /** It runs on without a good end, and is restarted however often it fails. */
-  isLasting: boolean;
-  /** It is lasting, and its job is not cancelled. */
-  isOwed: boolean;
-  /** Since when it runs nowhere, where it is lasting. */
-  awaySinceMs: number;
+  /** A successful end was acknowledged, so the task must not start again. */
+  isEndAcknowledged: boolean;
+  acknowledgedFailures: number;
+  /** The task is long-running: it has no successful end and is restarted after every failure. */
+  isLongRunning: boolean;
+  /** The task is long-running, and its job is not cancelled. */
+  mustRun: boolean;
+  /** Since when a long-running task runs nowhere. */
+  downSinceMs: number;
 }
 
-/** The promises to callers, checked on what workers do and nothing else. */
+/** Checks the guarantees given to callers by the actions of the workers alone. */
 export class JobsOracle {
   readonly #tasks = new Map<string, TaskFacts>();
 
   /** Claimed processor time by worker, in thousandths of a core. */
   readonly #load = new Map<string, number>();
 
-  /** Ends that were listed and not noted when the leases of their worker lapsed. */
-  readonly #lapsedEnds = new Set<string>();
+  /** Ends that were listed but not acknowledged when the leases of their worker expired. */
+  readonly #expiredEnds = new Set<string>();
 
-  readonly #unnoted = new Map<string, Set<string>>();
+  readonly #unacknowledged = new Map<string, Set<string>>();
 
-  /** When a worker that leaves has said so. */
+  /** When each leaving worker announced that it leaves. */
   readonly #leavingSinceMs = new Map<string, number>();
 
   nowMs = 0;
 
-  /** From now on the tasks of this job must be at work. */
-  expectLasting({ id, steps }: JobSpec): void {
+  /** Requires the tasks of this job to run from now on. */
+  expectLongRunning({ id, steps }: JobSpec): void {
     for (let index = 0; index < steps[0]!.taskCount; index += 1) {
       const facts = this.#facts(taskName({ jobId: id, occurrence: 0, step: 0, index }));
-      Object.assign(facts, { isLasting: true, isOwed: true, awaySinceMs: this.nowMs });
+      Object.assign(facts, { isLongRunning: true, mustRun: true, downSinceMs: this.nowMs });
     }
   }
 
-  /** Nothing is owed any more to the callers of this job. */
+  /** Stops requiring the tasks of this job to run. */
   cancelled(jobId: string): void {
     for (const [name, facts] of this.#tasks) {
-      if (parseTaskName(name)?.jobId === jobId) facts.isOwed = false;
+      if (parseTaskName(name)?.jobId === jobId) facts.mustRun = false;
     }
   }
 
-  /** No lasting task is away for too long; `dueMs` tells until when one must be back. */
-  checkAway(dueMs: (sinceMs: number) => number): void {
-    for (const [name, { isOwed, runningOn, awaySinceMs }] of this.#tasks) {
-      const isBack = !isOwed || runningOn.size > 0 || this.nowMs <= dueMs(awaySinceMs);
-      expect(isBack, `${name} is away since ${awaySinceMs}, now is ${this.nowMs}`);
+  /** Checks that no long-running task is down past `deadlineMs`, given since when it is down. */
+  checkDowntime(deadlineMs: (sinceMs: number) => number): void {
+    for (const [name, { mustRun, runningOn, downSinceMs }] of this.#tasks) {
+      const isInTime = !mustRun || runningOn.size > 0 || this.nowMs <= deadlineMs(downSinceMs);
+      expect(isInTime, `${name} is down since ${downSinceMs} ms, the time is ${this.nowMs} ms`);
     }
   }
 
-  /** No lasting task is on this worker. */
+  /** Checks that no long-running task runs on this worker. */
   checkEvacuated(worker: string): void {
-    for (const [name, { isOwed, runningOn }] of this.#tasks) {
-      expect(!isOwed || !runningOn.has(worker), `${name} was left on ${worker}`);
+    for (const [name, { mustRun, runningOn }] of this.#tasks) {
+      expect(!mustRun || !runningOn.has(worker), `${name} still runs on ${worker}`);
     }
   }
 
-  /** The store has confirmed that the worker leaves. */
+  /** Records that the store has confirmed the worker's announcement to leave. */
   leaving(worker: string): void {
     this.#leavingSinceMs.set(worker, this.nowMs);
   }
 
   started(worker: WorkerEntry, { task, run }: Order): void {
     const name = taskName(task);
-    const saidMs = this.#leavingSinceMs.get(worker.id) ?? Infinity;
-    expect(this.nowMs <= saidMs + DRAIN_MS, `${name} starts on ${worker.id}, which left long ago`);
+    const announcedMs = this.#leavingSinceMs.get(worker.id) ?? Infinity;
+    expect(
+      this.nowMs <= announcedMs + DRAIN_MS,
+      `${name} starts on ${worker.id} too long after the worker announced that it leaves`,
+    );
     const facts = this.#facts(name);
-    expect(facts.runningOn.size === 0, `${name} run ${run} starts beside another run`);
-    expect(!facts.isNoted, `${name} run ${run} starts after its good end was noted`);
-    const mayStart = facts.isLasting || facts.notedFailures < MAX_ATTEMPTS;
+    expect(facts.runningOn.size === 0, `${name} run ${run} starts while another run is running`);
+    expect(
+      !facts.isEndAcknowledged,
+      `${name} run ${run} starts after its successful end was acknowledged`,
+    );
+    const mayStart = facts.isLongRunning || facts.acknowledgedFailures < MAX_ATTEMPTS;
     expect(mayStart, `${name} starts after its last attempt`);
     for (let index = 0; task.step > 0; index += 1) {
       const before = this.#tasks.get(taskName({ ...task, step: task.step - 1, index }));
@@ -97,34 +103,34 @@
   ended(worker: string, row: EndedRow): void {
     const facts = this.#facts(row.task);
     facts.runningOn.delete(worker);
-    facts.awaySinceMs = this.nowMs;
+    facts.downSinceMs = this.nowMs;
     this.#load.set(worker, (this.#load.get(worker) ?? 0) - 1_000);
     if (row.how === 'done') facts.isDone = true;
-    const unnoted = this.#unnoted.get(worker) ?? new Set();
-    this.#unnoted.set(worker, unnoted.add(`${worker} ${row.number}`));
+    const unacknowledged = this.#unacknowledged.get(worker) ?? new Set();
+    this.#unacknowledged.set(worker, unacknowledged.add(`${worker} ${row.number}`));
   }
 
-  /** The leases of a worker lapsed: ends that nobody had noted by then count for nothing. */
-  lapsed(worker: string): void {
-    for (const end of this.#unnoted.get(worker) ?? []) this.#lapsedEnds.add(end);
+  /** Records that a worker's leases expired: ends not acknowledged by then no longer count. */
+  leasesExpired(worker: string): void {
+    for (const end of this.#unacknowledged.get(worker) ?? []) this.#expiredEnds.add(end);
   }
 
-  noted(worker: string, row: EndedRow): void {
+  acknowledged(worker: string, row: EndedRow): void {
     const key = `${worker} ${row.number}`;
-    this.#unnoted.get(worker)?.delete(key);
-    if (this.#lapsedEnds.has(key)) return;
+    this.#unacknowledged.get(worker)?.delete(key);
+    if (this.#expiredEnds.has(key)) return;
     const facts = this.#facts(row.task);
-    if (row.how === 'done') facts.isNoted = true;
-    if (row.how === 'failed') facts.notedFailures += 1;
+    if (row.how === 'done') facts.isEndAcknowledged = true;
+    if (row.how === 'failed') facts.acknowledgedFailures += 1;
   }
 
-  gone(worker: string, task: string): void {
+  removed(worker: string, task: string): void {
     const facts = this.#facts(task);
     facts.runningOn.delete(worker);
-    facts.awaySinceMs = this.nowMs;
+    facts.downSinceMs = this.nowMs;
   }
 
-  /** Every task of a job shown as completed has ended well. */
+  /** Checks that every task of a job shown as completed has ended successfully. */
   completed(jobId: string): void {
     for (const [name, facts] of this.#tasks) {
       if (parseTaskName(name)?.jobId === jobId) {
@@ -139,11 +145,11 @@
       facts = {
         runningOn: new Set(),
         isDone: false,
-        isNoted: false,
-        notedFailures: 0,
-        isLasting: false,
-        isOwed: false,
-        awaySinceMs: this.nowMs,
+        isEndAcknowledged: false,
+        acknowledgedFailures: 0,
+        isLongRunning: false,
+        mustRun: false,
+        downSinceMs: this.nowMs,
       };
       this.#tasks.set(name, facts);
     }
@@ -151,6 +157,6 @@
   }
 }
 
-function expect(holds: boolean, what: string): void {
-  if (!holds) throw new Error(what);
+function expect(condition: boolean, message: string): void {
+  if (!condition) throw new Error(message);
 }
--- a/packages/fuzz/src/jobs/jobs-script.ts
+++ b/packages/fuzz/src/jobs/jobs-script.ts
@@ -1,12 +1,12 @@
 import type { JobsWorld } from './jobs-world.js';
 
-/** So long before it is gone a worker announces that it leaves, in milliseconds. */
+/** How long before it is removed a worker announces that it leaves, in milliseconds. */
 const LEAVING_MS = 2_000;
 
-/** Some stay so much longer, in milliseconds. */
-const LINGERING_MS = 4_000;
+/** How much longer than announced some workers stay, in milliseconds. */
+const OVERSTAY_MS = 4_000;
 
-/** Carries out what the fuzzer has drawn: a command and two small numbers for whom it meets. */
+/** Carries out a drawn command; two small numbers select the leader, worker or other target. */
 export class JobsScript {
   readonly #world: JobsWorld;
 
@@ -24,7 +24,7 @@
         world.submit(1 + (a % 4));
         break;
       case 'submit-lasting':
-        world.submitLasting(1 + (a % 2));
+        world.submitLongRunning(1 + (a % 2));
         break;
       case 'cancel':
         this.#cancel(a);
@@ -42,7 +42,7 @@
         world.renew(leader, worker, 'late');
         break;
       case 'deliver-late':
-        world.deliverLate(a);
+        world.deliverDelayed(a);
         break;
       case 'deliver':
         world.deliver(leader, b, false);
@@ -60,7 +60,7 @@
         world.crash(worker);
         break;
       case 'leave':
-        world.leave(worker, LEAVING_MS, a % 2 === 0, a % 4 === 3 ? LINGERING_MS : 0);
+        world.leave(worker, LEAVING_MS, a % 2 === 0, a % 4 === 3 ? OVERSTAY_MS : 0);
         break;
       case 'list':
         world.list(leader);
@@ -103,10 +103,10 @@
     this.#world.cancel(id);
   }
 
-  /** Only the present leader does not reach the worker; the one before it still may. */
+  /** Toggles whether the current leader reaches the worker; the previous leader still may. */
   #cutOff(worker: string): void {
     this.#world.coverage.hit('cut-off');
-    const { unreachable } = this.#world.present;
+    const { unreachable } = this.#world.currentLeader;
     if (!unreachable.delete(worker)) unreachable.add(worker);
   }
 }
--- a/packages/fuzz/src/jobs/jobs-world.ts
+++ b/packages/fuzz/src/jobs/jobs-world.ts
@@ -2,39 +2,40 @@
 import { JobProgress } from '@redwingcrank/jobs';
 import type { Coverage } from '../coverage.js';
 import { JobsOracle } from './jobs-oracle.js';
-import type { Append, RenewCall, SentOrder } from './model-leader.js';
+import type { Append, RenewRequest, SentOrder } from './model-leader.js';
 import { ModelLeader } from './model-leader.js';
 import type { LogEntry } from './model-node.js';
 import { ModelNode } from './model-node.js';
-import { ModelWorker, lastingJob, modelJob } from './model-worker.js';
+import { ModelWorker, longRunningJob, modelJob } from './model-worker.js';
 
-/** How a renewal fares on its way. */
-export type RenewFate = 'answered' | 'unanswered' | 'late';
+/** The outcome of a renewal's delivery. */
+export type RenewOutcome = 'answered' | 'unanswered' | 'late';
 
-/** How an append fares: what gets no answer is sent again. */
-export type AppendFate = 'answered' | 'unanswered' | 'lost';
+/** The outcome of an append; an append without an answer is sent again. */
+export type AppendOutcome = 'answered' | 'unanswered' | 'lost';
 
-/** So many workers there are always: what is gone is replaced. */
-const WORKERS = 3;
+/** The number of workers at any time: a removed worker is replaced. */
+const WORKER_COUNT = 3;
 
 /**
- * So many rounds at most follow one that was cut short, at once: more than tasks wait. Where no
- * lease may be given starts come back at once, and would be ordered again without end.
+ * The maximum number of rounds that directly follow a round that was cut short; there are fewer
+ * waiting tasks than this. While no lease may be granted, starts are returned at once and would
+ * otherwise be ordered again endlessly.
  */
-const FOLLOWING_ROUNDS = 40;
+const MAX_FOLLOW_UP_ROUNDS = 40;
 
-const NODES = ['n1', 'n2', 'n3'];
+const NODE_NAMES = ['n1', 'n2', 'n3'];
 
-/** So many lasting tasks at most, so that one worker has room for them all. */
-const MAX_LASTING = 3;
+/** The maximum number of long-running tasks; one worker has the capacity for all of them. */
+const MAX_LONG_RUNNING_TASKS = 3;
 
-/** A renewal that reaches its worker when newer ones have. */
-interface LateCall {
+/** A renewal that reaches its worker after newer renewals. */
+interface DelayedRenewal {
   readonly worker: ModelWorker;
-  readonly call: RenewCall;
+  readonly call: RenewRequest;
 }
 
-/** Leaders, workers and the store, without sockets: what they do is drawn by the fuzzer. */
+/** Models the leaders, the workers and the store without sockets; the fuzzer draws their actions. */
 export class JobsWorld {
   readonly coverage: Coverage;
 
@@ -42,17 +43,17 @@
 
   readonly workers: ModelWorker[] = [];
 
-  /** The newest last; the one before it may not know yet that it is replaced. */
+  /** The newest leader is last; its predecessor may not know yet that it has been replaced. */
   readonly leaders: ModelLeader[] = [];
 
   isStoreUp = true;
 
-  /** When a worker was last gone for good: what was bound there may have been away before. */
-  lostMs = -Infinity;
+  /** When a worker was last removed; its tasks may have stopped running before that. */
+  lastRemovalMs = -Infinity;
 
-  #lives = 0;
+  #incarnationCount = 0;
 
-  #lastingCount = 0;
+  #longRunningCount = 0;
 
   readonly #jobs = new Map<string, JobSpec>();
 
@@ -60,10 +61,10 @@
 
   readonly #cancelled = new Set<string>();
 
-  /** A repeat of one of these changes nothing. */
+  /** Appends that the store holds already; repeating one changes nothing. */
   readonly #stored = new WeakSet<Append>();
 
-  readonly #lateCalls: LateCall[] = [];
+  readonly #delayedRenewals: DelayedRenewal[] = [];
 
   #epoch = 0;
 
@@ -73,8 +74,8 @@
 
   constructor(coverage: Coverage) {
     this.coverage = coverage;
-    this.#nodes = NODES.map((name) => new ModelNode(name, this.#nowMs));
-    for (let i = 0; i < WORKERS; i += 1) this.#addWorker(`host${i}`);
+    this.#nodes = NODE_NAMES.map((name) => new ModelNode(name, this.#nowMs));
+    for (let i = 0; i < WORKER_COUNT; i += 1) this.#addWorker(`host${i}`);
     this.elect();
   }
 
@@ -82,17 +83,17 @@
     return this.#nowMs;
   }
 
-  /** The leader that the store takes appends from. */
-  get present(): ModelLeader {
+  /** The leader whose appends the store accepts. */
+  get currentLeader(): ModelLeader {
     return this.leaders.at(-1)!;
   }
 
-  /** The ids of jobs, in the order of their submission. */
+  /** The ids of the jobs, in order of submission. */
   get jobIds(): string[] {
     return [...this.#jobs.keys()];
   }
 
-  isLasting(id: string): boolean {
+  isLongRunning(id: string): boolean {
     return this.#jobs.get(id)!.steps.some(({ lasting }) => lasting);
   }
 
@@ -102,7 +103,7 @@
     for (const leader of this.leaders) leader.nowMs = this.#nowMs;
     for (const worker of [...this.workers]) {
       worker.passTime(ms);
-      if (this.#nowMs >= worker.leavesMs) this.vanish(worker);
+      if (this.#nowMs >= worker.removalMs) this.vanish(worker);
     }
   }
 
@@ -110,11 +111,11 @@
     this.#submit(modelJob(`job${this.#jobs.size}`, width));
   }
 
-  submitLasting(width: number): void {
-    if (this.#lastingCount + width > MAX_LASTING) return;
-    this.#lastingCount += width;
-    const spec = lastingJob(`job${this.#jobs.size}`, width);
-    this.oracle.expectLasting(spec);
+  submitLongRunning(width: number): void {
+    if (this.#longRunningCount + width > MAX_LONG_RUNNING_TASKS) return;
+    this.#longRunningCount += width;
+    const spec = longRunningJob(`job${this.#jobs.size}`, width);
+    this.oracle.expectLongRunning(spec);
     this.#submit(spec);
   }
 
@@ -124,14 +125,14 @@
     for (const { scheduler } of this.leaders) scheduler.cancel(id, this.#nowMs);
   }
 
-  /** A node claims the role, another one than before; the leader before knows nothing of it yet. */
+  /** Makes another node claim leadership; the previous leader does not know of it yet. */
   elect(): void {
-    this.#claim(this.#nodes[(this.#epoch + 1) % NODES.length]!);
+    this.#claim(this.#nodes[(this.#epoch + 1) % NODE_NAMES.length]!);
   }
 
-  /** A node that does not schedule stands still until it takes the role. */
+  /** Freezes a node that is not a leader until it claims leadership. */
   freezeNode(index: number): void {
-    const node = this.#nodes[index % NODES.length]!;
+    const node = this.#nodes[index % NODE_NAMES.length]!;
     if (this.leaders.some((leader) => leader.node === node)) return;
     this.coverage.hit('freeze');
     node.freeze();
@@ -141,16 +142,16 @@
     for (const node of this.#nodes) node.wake(this.#nowMs);
   }
 
-  /** The leader's process ends and another life of the node takes the role at once. */
+  /** Ends the leader's process; the node's next incarnation claims leadership at once. */
   restartLeader(): void {
     this.coverage.hit('restart');
-    const { node } = this.present;
-    for (const leader of this.leaders) if (leader.node === node) leader.isOver = true;
+    const { node } = this.currentLeader;
+    for (const leader of this.leaders) if (leader.node === node) leader.hasEnded = true;
     node.restart(this.#nowMs);
     this.#claim(node);
   }
 
-  /** The leader reads which workers the store lists. */
+  /** Makes the leader read which workers the store lists. */
   list(leader: ModelLeader): void {
     const listed = new Set<string>();
     for (const { entry, isCut } of this.workers) {
@@ -165,61 +166,61 @@
     Object.assign(leader, { listAsOfMs: undefined });
   }
 
-  /** Decides, stores and sends, or repeats the append that got no answer. */
-  round(leader: ModelLeader, fate: AppendFate, following = FOLLOWING_ROUNDS): void {
+  /** Runs a round (decides, stores and sends), or repeats the append that got no answer. */
+  round(leader: ModelLeader, outcome: AppendOutcome, followUps = MAX_FOLLOW_UP_ROUNDS): void {
     if (!this.#takesAppends(leader)) return;
-    const append = leader.unanswered ?? leader.decide(this.#nowMs, false);
-    if (fate !== 'answered') this.coverage.hit(`append-${fate}`);
-    if (fate !== 'lost') this.#store(append);
-    Object.assign(leader, { unanswered: fate === 'answered' ? undefined : append });
-    if (fate !== 'answered') return;
+    const append = leader.unansweredAppend ?? leader.decide(this.#nowMs, false);
+    if (outcome !== 'answered') this.coverage.hit(`append-${outcome}`);
+    if (outcome !== 'lost') this.#store(append);
+    Object.assign(leader, { unansweredAppend: outcome === 'answered' ? undefined : append });
+    if (outcome !== 'answered') return;
     leader.stored(append, this.#nowMs);
-    if (!append.isCutShort || following === 0) return;
+    if (!append.isCutShort || followUps === 0) return;
     this.coverage.hit('cut-short');
-    this.round(leader, fate, following - 1);
+    this.round(leader, outcome, followUps - 1);
   }
 
-  /** The leader gives its role up; that it is stored it does not hear. */
+  /** The leader resigns and does not learn that its resignation is stored. */
   resign(): void {
-    const { present } = this;
-    if (!this.#takesAppends(present) || present.unanswered) return;
+    const { currentLeader } = this;
+    if (!this.#takesAppends(currentLeader) || currentLeader.unansweredAppend) return;
     this.coverage.hit('resign');
-    const append = present.decide(this.#nowMs, true);
-    Object.assign(present, { unanswered: append });
+    const append = currentLeader.decide(this.#nowMs, true);
+    Object.assign(currentLeader, { unansweredAppend: append });
     this.#store(append);
     this.elect();
   }
 
-  renew(leader: ModelLeader, worker: ModelWorker, fate: RenewFate): void {
+  renew(leader: ModelLeader, worker: ModelWorker, outcome: RenewOutcome): void {
     if (!leader.reaches(worker)) return;
     const call = leader.renew(worker.entry.id, this.#nowMs);
     if (!call) return;
-    if (fate === 'late') {
+    if (outcome === 'late') {
       this.coverage.hit('renew-late');
-      this.#lateCalls.push({ worker, call });
-      leader.missed(worker.entry.id);
+      this.#delayedRenewals.push({ worker, call });
+      leader.renewalLost(worker.entry.id);
       return;
     }
     const report = worker.renew(call);
     if (!report) {
       this.coverage.hit('renew-fenced');
-      Object.assign(leader, { isOver: true });
-    } else if (fate === 'unanswered') {
+      Object.assign(leader, { hasEnded: true });
+    } else if (outcome === 'unanswered') {
       this.coverage.hit('report-lost');
-      leader.missed(worker.entry.id);
+      leader.renewalLost(worker.entry.id);
     } else {
       leader.renewed(worker.entry.id, report, call.askedMs, this.#nowMs);
     }
   }
 
-  /** A renewal that nobody waits for any more reaches its worker. */
-  deliverLate(index: number): void {
-    const at = index % Math.max(1, this.#lateCalls.length);
-    const [late] = this.#lateCalls.splice(at, 1);
+  /** Delivers a renewal whose sender no longer waits for the answer. */
+  deliverDelayed(index: number): void {
+    const at = index % Math.max(1, this.#delayedRenewals.length);
+    const [late] = this.#delayedRenewals.splice(at, 1);
     if (late?.worker.isAlive) late.worker.renew(late.call);
   }
 
-  /** An order arrives; unanswered, it is sent again, or arrives a second time later. */
+  /** Delivers an order; if it stays unanswered, it is sent again or arrives a second time later. */
   deliver(leader: ModelLeader, index: number, isUnanswered: boolean): void {
     const sent = leader.inFlight[index % Math.max(1, leader.inFlight.length)];
     if (!sent) return;
@@ -233,50 +234,54 @@
       this.coverage.hit('order-unanswered');
       sent.mayRun = true;
       if (index % 2 === 0) leader.resend(sent, this.#nowMs);
-      else leader.settle(sent, 'unknown', this.#nowMs);
+      else leader.complete(sent, 'unknown', this.#nowMs);
       return;
     }
     leader.inFlight.splice(leader.inFlight.indexOf(sent), 1);
     if (outcome === 'fenced') this.coverage.hit('order-fenced');
     if (outcome === 'too-late') this.coverage.hit('order-late');
-    if (outcome === 'fenced') Object.assign(leader, { isOver: true });
-    else leader.settle(sent, outcome, this.#nowMs);
+    if (outcome === 'fenced') Object.assign(leader, { hasEnded: true });
+    else leader.complete(sent, outcome, this.#nowMs);
   }
 
-  /** An order never arrives. */
+  /** Loses an order on its way. */
   drop(leader: ModelLeader, sent: SentOrder): void {
     leader.inFlight.splice(leader.inFlight.indexOf(sent), 1);
-    leader.settle(sent, 'unknown', this.#nowMs);
+    leader.complete(sent, 'unknown', this.#nowMs);
   }
 
   end(worker: ModelWorker, index: number, how: 'done' | 'failed'): void {
     const order = worker.running[index % Math.max(1, worker.running.length)];
     if (!order) return;
-    // A lasting task has no good end.
-    const isFailure = how === 'failed' || this.isLasting(order.task.jobId);
+    // A long-running task cannot end successfully.
+    const isFailure = how === 'failed' || this.isLongRunning(order.task.jobId);
     if (isFailure) this.coverage.hit('fail');
     worker.end(order, isFailure ? 'failed' : how);
   }
 
-  /** The process dies; another life begins at its address, and tells so whoever asks for it. */
+  /**
+   * Crashes the worker's process. A new incarnation starts at its address and reports that to
+   * whoever asks for the old one.
+   */
   crash(worker: ModelWorker): void {
     this.coverage.hit('crash');
     this.#remove(worker);
-    const reborn = this.#addWorker(worker.entry.address);
+    const successor = this.#addWorker(worker.entry.address);
     for (const leader of this.leaders) {
       leader.scheduler.workerEnded(worker.entry.id, this.#nowMs, 'other-life');
-      leader.scheduler.listWorker(reborn.entry, this.#nowMs);
+      leader.scheduler.listWorker(successor.entry, this.#nowMs);
     }
   }
 
   /**
-   * The worker announces that it leaves, and does when its time is over, or lingers; where that is not
-   * read at once, the leaders' lists of workers grow old until they are read whole.
+   * The worker announces that it leaves, and does so after `remainingMs` plus `overstayMs`. If the
+   * announcement is not read at once, the leaders' lists of workers are out of date until they are
+   * read completely.
    */
-  leave(worker: ModelWorker, remainingMs: number, isRead: boolean, lingersMs = 0): void {
+  leave(worker: ModelWorker, remainingMs: number, isRead: boolean, overstayMs = 0): void {
     if (worker.entry.draining) return;
     this.coverage.hit('leave');
-    worker.announceLeaving(remainingMs, this.#nowMs, lingersMs);
+    worker.announceLeaving(remainingMs, this.#nowMs, overstayMs);
     this.oracle.leaving(worker.entry.id);
     if (!isRead) {
       this.coverage.hit('leave-unread');
@@ -286,12 +291,12 @@
     for (const { scheduler } of this.leaders) scheduler.listWorker(worker.entry, this.#nowMs);
   }
 
-  /** The worker is gone for good and listed no more; nothing else answers at its address. */
+  /** Removes the worker from the store's list for good; nothing else answers at its address. */
   vanish(worker: ModelWorker): void {
     this.coverage.hit('vanish');
-    this.lostMs = this.#nowMs;
+    this.lastRemovalMs = this.#nowMs;
     this.#remove(worker);
-    const other = this.#addWorker(`host${this.#lives}`);
+    const other = this.#addWorker(`host${this.#incarnationCount}`);
     for (const { scheduler } of this.leaders) {
       scheduler.unlistWorker(worker.entry.id);
       scheduler.listWorker(other.entry, this.#nowMs);
@@ -303,7 +308,7 @@
     node.wake(this.#nowMs);
     const claim = node.claim(this.#nowMs);
     this.#epoch = claim.epoch;
-    this.#tell(claim);
+    this.#announce(claim);
     const leader = new ModelLeader(claim, node, this.#nowMs);
     for (const [id, spec] of this.#jobs) {
       const stored = this.#progress.get(id);
@@ -317,10 +322,10 @@
   }
 
   #takesAppends(leader: ModelLeader): boolean {
-    if (leader.isOver || !this.isStoreUp) return false;
+    if (leader.hasEnded || !this.isStoreUp) return false;
     if (leader.epoch === this.#epoch) return true;
     this.coverage.hit('write-fenced');
-    Object.assign(leader, { isOver: true });
+    Object.assign(leader, { hasEnded: true });
     return false;
   }
 
@@ -333,11 +338,11 @@
       const stored = JobProgress.decodeState(this.#jobs.get(id)!, text);
       if (stored!.state === 'completed') this.oracle.completed(id);
     }
-    this.#tell(rec);
+    this.#announce(rec);
   }
 
-  /** Every node reads the record at once: read later, it would only make them wait longer. */
-  #tell(entry: LogEntry): void {
+  /** Makes every node read the record at once: a later read would only make the nodes wait longer. */
+  #announce(entry: LogEntry): void {
     for (const node of this.#nodes) node.read(entry, this.#nowMs);
   }
 
@@ -352,9 +357,9 @@
   }
 
   #addWorker(address: string): ModelWorker {
-    this.#lives += 1;
+    this.#incarnationCount += 1;
     const entry: WorkerEntry = {
-      id: `life${this.#lives}`,
+      id: `life${this.#incarnationCount}`,
       address,
       pool: 'p',
       dataCentre: 'a',
--- a/packages/fuzz/src/jobs/model-leader.ts
+++ b/packages/fuzz/src/jobs/model-leader.ts
@@ -14,7 +14,7 @@
 import type { ModelNode } from './model-node.js';
 import type { ModelWorker } from './model-worker.js';
 
-/** An order on its way; without an answer it is sent again. */
+/** An order in flight; an order without an answer is sent again. */
 export interface SentOrder {
   readonly order: Order;
   readonly deadline: number;
@@ -25,24 +25,24 @@
   mayRun: boolean;
 }
 
-/** A renewal on its way. */
-export interface RenewCall {
+/** A renewal in flight. */
+export interface RenewRequest {
   readonly token: number;
   readonly ackedEnd: number;
-  /** On the worker's clock; undefined where it only looks. */
+  /** The lease's end on the worker's clock; undefined if the renewal only asks for a report. */
   readonly deadline: number | undefined;
   readonly askedMs: number;
 }
 
-/** What one round appends, and what waits until the leader knows that it is stored. */
+/** The records that one round appends, and the actions that wait until they are stored. */
 export interface Append {
   readonly progress: readonly { readonly id: string; readonly text: string }[];
-  /** Undefined where the round has changed jobs and nothing is to be told of workers. */
+  /** Undefined if the round has changed jobs and there is no news of workers to record. */
   readonly rec: LeaderRecord | undefined;
   readonly sentMs: number;
   readonly starts: readonly Order[];
   readonly acks: ReadonlyMap<string, number>;
-  /** Another round follows at once. */
+  /** Whether another round follows at once. */
   readonly isCutShort: boolean;
 }
 
@@ -60,14 +60,14 @@
   targetLatencyMs: 0,
 };
 
-/** Rounds that have more to start are cut short. */
+/** Allows one start a round: rounds that have more to start are cut short. */
 const FEW_STARTS = { placingMs: Infinity, starts: 1, clockMs: () => 0 };
 
 const NO_STARTS = { ...FEW_STARTS, starts: 0 };
 
 /**
- * One term of a scheduling node: the scheduler of the nodes, and what they may promise and tell of
- * leases, with calls in place of sockets.
+ * One term of a leader: the real scheduler and the real bookkeeping of leases, with calls in place
+ * of sockets.
  */
 export class ModelLeader {
   readonly epoch: number;
@@ -78,19 +78,19 @@
 
   readonly inFlight: SentOrder[] = [];
 
-  /** Workers that it cannot reach, though others may. */
+  /** Workers that this leader cannot reach, although others may. */
   readonly unreachable = new Set<string>();
 
-  /** When the newest append was first sent that the store has confirmed. */
+  /** When the newest append that the store has confirmed was first sent. */
   confirmedMs: number;
 
-  /** It knows that it is replaced, or its process is gone. */
-  isOver = false;
+  /** Whether the leader knows that it is replaced, or its process has ended. */
+  hasEnded = false;
 
-  /** An append that got no answer: it is stored, but the leader does not know. */
-  unanswered: Append | undefined;
+  /** The append that got no answer: the leader does not know whether it is stored. */
+  unansweredAppend: Append | undefined;
 
-  /** Since when its list of workers lacks something; undefined where it is complete. */
+  /** Since when the leader's list of workers is incomplete; undefined if it is complete. */
   listAsOfMs: number | undefined;
 
   nowMs: number;
@@ -104,7 +104,7 @@
   readonly #clocks = new Map<string, ClockReading>();
 
   /** Workers whose newest renewal got no answer. */
-  readonly #lost = new Set<string>();
+  readonly #lostRenewals = new Set<string>();
 
   constructor(claim: LeaderRecord, node: ModelNode, nowMs: number) {
     const { former } = node;
@@ -113,17 +113,17 @@
     this.confirmedMs = nowMs;
     this.#startedMs = nowMs;
     this.nowMs = nowMs;
-    const freshMs = (): number => this.listAsOfMs ?? this.nowMs;
-    const presentMs = (): number => this.nowMs;
+    const workersAsOfMs = (): number => this.listAsOfMs ?? this.nowMs;
+    const jobsAsOfMs = (): number => this.nowMs;
     this.#views = new StartViews(
       {
         get completeAsOfMs() {
-          return freshMs();
+          return workersAsOfMs();
         },
       },
       {
         get jobsCompleteAsOfMs() {
-          return presentMs();
+          return jobsAsOfMs();
         },
       },
       { drainMs: DRAIN_MS, cancelMs: Infinity },
@@ -147,28 +147,28 @@
     return worker.isAlive && !worker.isCut && !this.unreachable.has(worker.entry.id);
   }
 
-  /** Decides, sends the stops, and returns what is to be appended; with it may resign. */
+  /** Decides, sends the stops, and returns the append, which may contain the resignation. */
   decide(nowMs: number, resigns: boolean): Append {
     const isOpen = this.#views.windowMs(nowMs) > 0;
     const decisions = this.scheduler.decide(nowMs, nowMs, isOpen ? FEW_STARTS : NO_STARTS);
     const { changed, orders, acks } = decisions;
     const isCutShort = isOpen && decisions.isCutShort;
     const { silent, isComplete } = this.#silentWorkers(nowMs);
-    const isNews = this.#leases.updateSilent(silent, isComplete);
-    const tells = resigns || isNews || changed.length === 0;
-    const rec = tells ? this.#leases.record(resigns, nowMs) : undefined;
+    const hasSilentChanged = this.#leases.updateSilent(silent, isComplete);
+    const writesRecord = resigns || hasSilentChanged || changed.length === 0;
+    const rec = writesRecord ? this.#leases.record(resigns, nowMs) : undefined;
     const progress = changed.map((job) => ({ id: job.spec.id, text: job.encode() }));
     const starts = orders.filter(({ kind }) => kind === 'start');
     for (const order of orders) if (order.kind !== 'start') this.#send(order, nowMs, false);
     return { progress, rec, sentMs: nowMs, starts, acks, isCutShort };
   }
 
-  /** Sends the stops that are due; an append may be under way. */
+  /** Sends the stops that are due; an append may be in progress. */
   sendStops(nowMs: number): void {
     for (const order of this.scheduler.decideStops(nowMs)) this.#send(order, nowMs, false);
   }
 
-  /** The leader hears that its append is stored. */
+  /** Handles the confirmation that the append is stored. */
   stored({ rec, sentMs, starts, acks }: Append, nowMs: number): void {
     this.confirmedMs = sentMs;
     if (rec) this.#leases.recordStored();
@@ -177,8 +177,7 @@
   }
 
   /**
-   * Sends an order again to which no answer came. The first one stays on its way and may arrive a
-   * second time.
+   * Sends an unanswered order again. The first order stays in flight and may arrive a second time.
    */
   resend(sent: SentOrder, nowMs: number): void {
     if (sent.isAnswered) return;
@@ -186,22 +185,22 @@
     this.#send(sent.order, nowMs, true);
   }
 
-  /** Tells the scheduler what came of an order. */
-  settle(sent: SentOrder, outcome: OrderOutcome, nowMs: number): void {
-    if (this.isOver || sent.isAnswered) return;
+  /** Reports the outcome of an order to the scheduler. */
+  complete(sent: SentOrder, outcome: OrderOutcome, nowMs: number): void {
+    if (this.hasEnded || sent.isAnswered) return;
     Object.assign(sent, { isAnswered: true });
-    // An earlier attempt without an answer may run, whatever this one met with.
+    // An earlier unanswered attempt may be running, whatever the outcome of this attempt.
     const isUnknown = outcome === 'unknown' || (sent.mayRun && outcome !== 'done');
-    const settledMs = isUnknown ? sent.sentMs + withClockDrift(sent.windowMs) : nowMs;
-    this.scheduler.answered(sent.order, isUnknown ? 'unknown' : outcome, nowMs, settledMs);
+    const sendCompletedMs = isUnknown ? sent.sentMs + withClockDrift(sent.windowMs) : nowMs;
+    this.scheduler.answered(sent.order, isUnknown ? 'unknown' : outcome, nowMs, sendCompletedMs);
   }
 
-  /** Begins a renewal; undefined where it holds no such worker. */
-  renew(id: string, nowMs: number): RenewCall | undefined {
+  /** Starts a renewal; returns undefined if the leader has ended or does not know the worker. */
+  renew(id: string, nowMs: number): RenewRequest | undefined {
     const known = this.scheduler.workers.get(id);
-    if (this.isOver || !known) return undefined;
+    if (this.hasEnded || !known) return undefined;
     const leaseMs = Math.floor(Math.min(LEASE_MS, this.#leases.limitMs(id, nowMs)));
-    const extend = this.#clocks.has(id) && !this.#lost.has(id) && leaseMs > 0;
+    const extend = this.#clocks.has(id) && !this.#lostRenewals.has(id) && leaseMs > 0;
     if (extend) this.scheduler.leaseSent(id, nowMs + withClockDrift(leaseMs));
     return {
       token: this.epoch,
@@ -213,18 +212,18 @@
 
   renewed(id: string, report: WorkerReport, askedMs: number, nowMs: number): void {
     this.#clocks.set(id, { clock: report.clockMs, atMs: nowMs });
-    this.#lost.delete(id);
+    this.#lostRenewals.delete(id);
     this.scheduler.report(id, report, askedMs, nowMs);
   }
 
-  /** Whether the newest renewal got no answer. */
+  /** Returns whether the worker's newest renewal got no answer. */
   isLost(id: string): boolean {
-    return this.#lost.has(id);
+    return this.#lostRenewals.has(id);
   }
 
-  /** A renewal got no answer. */
-  missed(id: string): void {
-    this.#lost.add(id);
+  /** Records that a renewal got no answer. */
+  renewalLost(id: string): void {
+    this.#lostRenewals.add(id);
   }
 
   #silentWorkers(nowMs: number): { silent: WorkerState[]; isComplete: boolean } {
@@ -235,7 +234,7 @@
       if (worker.runs.size > 0 && !worker.fenced) {
         if (isFirstOverdue) silent.push(worker);
         else isComplete = false;
-      } else if (worker.runs.size > 0 && this.#lost.has(worker.entry.id)) {
+      } else if (worker.runs.size > 0 && this.#lostRenewals.has(worker.entry.id)) {
         if (nowMs - worker.answeredMs > SILENT_WORKER_MS) silent.push(worker);
       }
     }
@@ -256,8 +255,8 @@
     if (order.kind === 'start') {
       const mayStart = windowMs > 0 && this.#leases.limitMs(worker, nowMs) >= START_WINDOW_MS;
       if (!mayStart || !this.scheduler.shouldSend(order)) {
-        // Nothing was sent now, but an earlier attempt may be on its way.
-        this.settle(sent, mayRun ? 'unknown' : 'too-late', nowMs);
+        // Nothing was sent now, but an earlier attempt may be in flight.
+        this.complete(sent, mayRun ? 'unknown' : 'too-late', nowMs);
         return;
       }
       this.scheduler.leaseSent(worker, nowMs + withClockDrift(windowMs));
--- a/packages/fuzz/src/jobs/model-node.ts
+++ b/packages/fuzz/src/jobs/model-node.ts
@@ -6,67 +6,67 @@
   withClockDrift,
 } from '@redwingcrank/runtime/leases';
 
-/** What a node reads of the work log that tells of leases; undefined for any other leader's word. */
+/** An entry of the work log: a leader's record, or undefined for any other entry of a leader. */
 export type LogEntry = LeaderRecord | undefined;
 
-/** A node as far as it may take the scheduling role: it reads the log and claims. */
+/** Models a node as a candidate for leadership: it reads the log and claims leadership. */
 export class ModelNode {
   readonly name: string;
 
   #former: FormerLeases;
 
-  #present: LeaderRecord | undefined;
+  #currentRecord: LeaderRecord | undefined;
 
   #isFrozen = false;
 
-  /** The newest record of a leader in the log, where it has not read it: it was frozen then. */
-  #missed: LeaderRecord | undefined;
+  /** The newest record of a leader that the node has not read because it was frozen. */
+  #unreadRecord: LeaderRecord | undefined;
 
   constructor(name: string, nowMs: number) {
     this.name = name;
     this.#former = new FormerLeases(name, nowMs);
   }
 
-  /** What it knows of leases that earlier leaders have given. */
+  /** The leases granted by earlier leaders, as far as the node knows them. */
   get former(): FormerLeases {
     return this.#former;
   }
 
-  /** The process starts anew and reads the newest record alone. */
+  /** Restarts the process, which reads only the newest record. */
   restart(nowMs: number): void {
     this.#former = new FormerLeases(this.name, nowMs);
-    if (this.#present) this.#former.recordRead(this.#present, nowMs);
+    if (this.#currentRecord) this.#former.recordRead(this.#currentRecord, nowMs);
   }
 
   freeze(): void {
     this.#isFrozen = true;
   }
 
-  /** What it has not read meanwhile has expired: it reads the newest record of each key. */
+  /** Ends the freeze. Entries not read meanwhile have expired; the newest record is read instead. */
   wake(nowMs: number): void {
     if (!this.#isFrozen) return;
     this.#isFrozen = false;
     this.#former.viewReset();
-    const newest = this.#missed ?? this.#present;
-    this.#missed = undefined;
+    const newest = this.#unreadRecord ?? this.#currentRecord;
+    this.#unreadRecord = undefined;
     if (newest) this.#recordRead(newest, nowMs);
   }
 
   read(entry: LogEntry, nowMs: number): void {
-    if (this.#isFrozen) this.#missed = entry ?? this.#missed;
+    if (this.#isFrozen) this.#unreadRecord = entry ?? this.#unreadRecord;
     else if (entry) this.#recordRead(entry, nowMs);
     else this.#former.heartbeatRead(nowMs);
   }
 
   #recordRead(rec: LeaderRecord, nowMs: number): void {
-    this.#present = rec;
+    this.#currentRecord = rec;
     this.#former.recordRead(rec, nowMs);
   }
 
-  /** A claim as the nodes make it: it may be stored seconds after it was sent. */
+  /** Returns a claim as a real node makes it; it may be stored seconds after it was sent. */
   claim(nowMs: number): LeaderRecord {
-    const epoch = (this.#present?.epoch ?? 0) + 1;
-    const leasesMs = Math.max(this.#present?.leasesMs ?? 0, CONFIRMED_LEASE_MS);
+    const epoch = (this.#currentRecord?.epoch ?? 0) + 1;
+    const leasesMs = Math.max(this.#currentRecord?.leasesMs ?? 0, CONFIRMED_LEASE_MS);
     const rec = {
       epoch,
       node: this.name,
--- a/packages/fuzz/src/jobs/model-worker.ts
+++ b/packages/fuzz/src/jobs/model-worker.ts
@@ -8,9 +8,9 @@
 } from '@redwingcrank/jobs';
 import { PLAIN_STEP, taskName } from '@redwingcrank/jobs';
 import type { JobsOracle } from './jobs-oracle.js';
-import type { RenewCall } from './model-leader.js';
+import type { RenewRequest } from './model-leader.js';
 
-/** The worker's clock is so much slower than true time. */
+/** The rate of the worker's clock relative to true time. */
 const CLOCK_RATE = 0.98;
 
 interface ModelRun {
@@ -20,7 +20,7 @@
 
 export type OrderResult = 'done' | 'fenced' | 'superseded' | 'too-late';
 
-/** One life of a worker as the platform describes it, on a clock of its own. */
+/** Models one incarnation of a worker as the platform describes it, with a clock of its own. */
 export class ModelWorker {
   #entry: WorkerEntry;
 
@@ -32,7 +32,7 @@
 
   #endCount = 0;
 
-  readonly #overRuns = new Map<string, number>();
+  readonly #newestEndedRuns = new Map<string, number>();
 
   #token = 0;
 
@@ -42,18 +42,18 @@
 
   isAlive = true;
 
-  /** Nobody reaches it, nor it anybody. */
+  /** Whether the worker is disconnected from everything. */
   isCut = false;
 
-  /** When it is gone for good; Infinity before it has announced that. */
-  leavesMs = Infinity;
+  /** When the worker is removed for good; Infinity before it has announced that. */
+  removalMs = Infinity;
 
   constructor(entry: WorkerEntry, oracle: JobsOracle) {
     this.#entry = entry;
     this.#oracle = oracle;
   }
 
-  /** What it says of itself now. */
+  /** The worker's current entry. */
   get entry(): WorkerEntry {
     return this.#entry;
   }
@@ -66,8 +66,8 @@
     return [...this.#running.values()].map(({ order }) => order);
   }
 
-  /** Whether it lists ends that nobody has acknowledged. */
-  get hasEnds(): boolean {
+  /** Whether the worker lists unacknowledged ends. */
+  get hasUnacknowledgedEnds(): boolean {
     return this.#ended.length > 0;
   }
 
@@ -78,16 +78,16 @@
 
   crash(): void {
     this.isAlive = false;
-    for (const name of this.#running.keys()) this.#oracle.gone(this.entry.id, name);
+    for (const name of this.#running.keys()) this.#oracle.removed(this.entry.id, name);
     this.#running.clear();
   }
 
-  announceLeaving(remainingMs: number, nowMs: number, lingersMs: number): void {
+  announceLeaving(remainingMs: number, nowMs: number, overstayMs: number): void {
     this.#entry = { ...this.#entry, draining: true, remainingMs };
-    this.leavesMs = nowMs + remainingMs + lingersMs;
+    this.removalMs = nowMs + remainingMs + overstayMs;
   }
 
-  /** Carries out an order; a start not after `deadline`. */
+  /** Carries out an order; rejects a start after `deadline`, on the worker's clock. */
   order(order: Order, token: number, deadline: number): OrderResult {
     return order.kind === 'start' ? this.#start(order, token, deadline) : this.#stop(order, token);
   }
@@ -99,7 +99,7 @@
     this.#leaseEnd = Math.max(this.#leaseEnd, deadline);
     const name = taskName(order.task);
     if (this.#running.get(name)?.order.run === order.run) return 'done';
-    if (order.run <= (this.#overRuns.get(name) ?? 0)) return 'superseded';
+    if (order.run <= (this.#newestEndedRuns.get(name) ?? 0)) return 'superseded';
     this.#oracle.started(this.entry, order);
     this.#running.set(name, { order, percent: 0 });
     return 'done';
@@ -109,18 +109,18 @@
     if (token < this.#token) return 'fenced';
     this.#token = token;
     const name = taskName(order.task);
-    this.#overRuns.set(name, Math.max(order.run, this.#overRuns.get(name) ?? 0));
+    this.#newestEndedRuns.set(name, Math.max(order.run, this.#newestEndedRuns.get(name) ?? 0));
     if (this.#running.get(name)?.order.run === order.run) this.#end(name, 'stopped');
     return 'done';
   }
 
-  /** Undefined where the token is too low. */
-  renew({ token, ackedEnd, deadline }: RenewCall): WorkerReport | undefined {
+  /** Handles a renewal; returns undefined if the token is too low. */
+  renew({ token, ackedEnd, deadline }: RenewRequest): WorkerReport | undefined {
     if (token < this.#token) return undefined;
     this.#token = token;
     if (deadline !== undefined) this.#leaseEnd = Math.max(this.#leaseEnd, deadline);
     for (const row of this.#ended)
-      if (row.number <= ackedEnd) this.#oracle.noted(this.entry.id, row);
+      if (row.number <= ackedEnd) this.#oracle.acknowledged(this.entry.id, row);
     this.#ended = this.#ended.filter(({ number }) => number > ackedEnd);
     const running = [...this.#running].map(([task, run]) => {
       run.percent += 1;
@@ -129,13 +129,13 @@
     return { clockMs: this.#clock, running, ended: [...this.#ended] };
   }
 
-  /** A run comes to its own end. */
+  /** Ends a run of its own accord. */
   end(order: Order, how: EndKind): void {
     this.#end(taskName(order.task), how);
   }
 
   endAll(how: EndKind): void {
-    if (how === 'lapsed') this.#oracle.lapsed(this.entry.id);
+    if (how === 'lapsed') this.#oracle.leasesExpired(this.entry.id);
     for (const name of [...this.#running.keys()]) this.#end(name, how);
   }
 
@@ -143,7 +143,7 @@
     const run = this.#running.get(name);
     if (!run) return;
     this.#running.delete(name);
-    this.#overRuns.set(name, Math.max(run.order.run, this.#overRuns.get(name) ?? 0));
+    this.#newestEndedRuns.set(name, Math.max(run.order.run, this.#newestEndedRuns.get(name) ?? 0));
     this.#endCount += 1;
     const row = { number: this.#endCount, task: name, run: run.order.run, how, checkpoint: '' };
     this.#ended.push(row);
@@ -151,15 +151,15 @@
   }
 }
 
-/** A job of two steps on which every rule can be broken. */
+/** Returns a job of two steps, which can violate every rule. */
 export function modelJob(id: string, width: number): JobSpec {
   const step = { ...PLAIN_STEP, taskCount: width, cpuMilli: 1_000, memMb: 1_000 };
   const steps = [step, { ...step, after: [0] }];
   return { id, queue: 'q', payload: 'p', steps, acceptedMs: 0 };
 }
 
-/** A job whose tasks run until it is cancelled. */
-export function lastingJob(id: string, width: number): JobSpec {
+/** Returns a job whose tasks run until it is cancelled. */
+export function longRunningJob(id: string, width: number): JobSpec {
   const step = { ...PLAIN_STEP, taskCount: width, cpuMilli: 1_000, memMb: 1_000, lasting: true };
   return { id, queue: 'q', payload: 'p', steps: [step], acceptedMs: 0 };
 }
--- a/packages/fuzz/src/targets/jobs.ts
+++ b/packages/fuzz/src/targets/jobs.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import type { Coverage } from '../coverage.js';
 import { FuzzTarget } from '../fuzz-target.js';
-import { CalmPhase } from '../jobs/calm-phase.js';
+import { RecoveryPhase } from '../jobs/recovery-phase.js';
 import { FinalLoss, LOSSES } from '../jobs/final-loss.js';
 import { JobsScript } from '../jobs/jobs-script.js';
 import { JobsWorld } from '../jobs/jobs-world.js';
@@ -41,18 +41,18 @@
 
 const ending = fc.record({ loss: fc.constantFrom(...LOSSES), cut: small, lost: small });
 
-/** Takeovers, cuts and lapses need room to follow one another. */
+/** Long enough for takeovers, cuts and lease expiries to follow one another. */
 const COMMANDS = { minLength: 40, maxLength: 160, size: 'max' } as const;
 
 /**
- * Jobs under two leaders at once, cut, crashing and leaving workers, lost and late orders and
- * renewals, and a store that goes away. Whatever happens: no task runs in two places, none starts
- * again after its good end was noted, none before the step it depends on has ended or after its
- * last attempt, none on a worker that said long before that it leaves, though the leader's list lacks
- * that, no worker is over its capacity, and no job is shown as completed that is not.
+ * Fuzzes jobs with two leaders at once, disconnected, crashing and leaving workers, lost and late
+ * orders and renewals, and store outages. In every case, no task runs in two places. No task starts
+ * after its successful end was acknowledged, before the step it depends on has ended, after its
+ * last attempt, or on a worker that announced long before that it leaves, even if the leader's list
+ * lacks that. No worker exceeds its capacity, and no unfinished job is shown as completed.
  *
- * Each run ends calm, with one leader that acts all the while. Then lasting tasks must be at work
- * again in the time that the leases account for, also after one more worker is lost.
+ * Each run ends with a recovery phase, in which one leader stays active. Long-running tasks must
+ * run again within the time that the leases allow for, also after one more worker is lost.
  */
 export class Jobs extends FuzzTarget {
   readonly name = 'jobs';
@@ -92,9 +92,9 @@
         coverage.step();
         script.run(kind, a, b);
       }
-      const calm = new CalmPhase(world);
-      calm.heal(cut);
-      new FinalLoss(world, calm, lost).run(loss);
+      const recovery = new RecoveryPhase(world);
+      recovery.heal(cut);
+      new FinalLoss(world, recovery, lost).run(loss);
     });
   }
 }
