--- a/packages/docs/src/codes-page.ts
+++ b/packages/docs/src/codes-page.ts
@@ -14,12 +14,12 @@
 
 const INTRODUCTION = `
 A refusal on the request path is an \`application/problem+json\` body (RFC 9457) with \`code\` and
-\`outcome\`: \`not-run\` (it truly did not run; sending it again is safe), \`unknown\` (it may have run)
+\`outcome\`: \`not-run\` (it did not run; sending it again is safe), \`unknown\` (it may have run)
 or \`ran\`. The command line prints the code and the name, and ends with the exit code of
-[OPERATIONS.md](OPERATIONS.md). A dash under HTTP means that the code never travels over HTTP.
+[OPERATIONS.md](OPERATIONS.md). A dash under HTTP means that the code is never sent over HTTP.
 `;
 
-/** The table of the numbered result codes. */
+/** The page of the numbered result codes. */
 export const codesPage: GeneratedFile = {
   path: 'docs/CODES.md',
   generate: () => {
--- a/packages/docs/src/format-generated-file.ts
+++ b/packages/docs/src/format-generated-file.ts
@@ -4,7 +4,7 @@
 
 const ROOT = new URL('../../../', import.meta.url);
 
-/** The text of a generated file as the formatter of the project leaves it, and where it belongs. */
+/** Returns a generated file's text, formatted by the project's rules, and its absolute path. */
 export async function formatGeneratedFile(
   file: GeneratedFile,
 ): Promise<{ path: string; text: string }> {
--- a/packages/docs/src/generated-file.ts
+++ b/packages/docs/src/generated-file.ts
@@ -1,17 +1,17 @@
 /** A committed file that is generated from the code. */
 export interface GeneratedFile {
-  /** The path below the root of the repository. */
+  /** The path relative to the root of the repository. */
   readonly path: string;
-  /** Gives the text before it is formatted. */
+  /** Returns the text of the file, not yet formatted. */
   readonly generate: () => string;
 }
 
-/** The first lines of a generated page. */
+/** Returns the first lines of a generated page: its title and its source. */
 export function pageHeader(title: string, source: string): string {
   return `# ${title}\n\nGenerated from \`${source}\` by \`npm run docs\`; a test compares them.\n`;
 }
 
-/** A Markdown table. */
+/** Returns a Markdown table. */
 export function markdownTable(
   columns: readonly string[],
   rows: readonly (readonly (string | number)[])[],
--- a/packages/docs/src/manifest-schema.ts
+++ b/packages/docs/src/manifest-schema.ts
@@ -9,8 +9,8 @@
     const schema = z.toJSONSchema(manifestSchema, { io: 'input' });
     const title = 'redwingcrank manifest';
     const description =
-      'The shape of a manifest. References between its parts (teams, data centres, unique names) ' +
-      'are checked by `redwingcrank validate`.';
+      'The structure of a manifest. References between its parts (teams, data centres, unique ' +
+      'names) are checked by `redwingcrank validate`.';
     return JSON.stringify({ ...schema, title, description });
   },
 };
--- a/packages/docs/src/openapi.ts
+++ b/packages/docs/src/openapi.ts
@@ -4,8 +4,8 @@
 import type { GeneratedFile } from './generated-file.js';
 
 const TEXT_PATHS = {
-  '/healthz': 'The process runs and its event loop turns',
-  '/readyz': '200 once it has caught up with the log and does not drain; 503 otherwise',
+  '/healthz': 'The process is running and its event loop is not blocked',
+  '/readyz': '200 if the node has caught up with the log and is not draining; 503 otherwise',
   '/metrics': 'Metrics in the text format of Prometheus',
 };
 
@@ -41,22 +41,25 @@
   };
 }
 
-/** The description of the administration API, from the schemas that the code checks with. */
+/** The OpenAPI description of the administration API, from the schemas that the code validates by. */
 export const openapiFile: GeneratedFile = {
   path: 'docs/openapi.json',
   generate: () => {
-    const text = Object.entries(TEXT_PATHS).map(([path, summary]) => [path, textPath(summary)]);
-    const json = Object.values(ADMIN_ROUTES).map((route) => [route.path, jsonPath(route)]);
+    const textPaths = Object.entries(TEXT_PATHS).map(([path, summary]) => [
+      path,
+      textPath(summary),
+    ]);
+    const jsonPaths = Object.values(ADMIN_ROUTES).map((route) => [route.path, jsonPath(route)]);
     return JSON.stringify({
       openapi: '3.1.0',
       info: {
         title: 'redwingcrank administration API',
         version: 'v1',
         description:
-          'Read-only, on the administration listener of each node. A node answers for its own data ' +
-          'centre, as far as it has read the log.',
+          'Read-only, on the administration listener of each node. A node answers for its own ' +
+          'data centre, with the state up to where it has read the log.',
       },
-      paths: Object.fromEntries([...text, ...json]),
+      paths: Object.fromEntries([...textPaths, ...jsonPaths]),
       components: { securitySchemes: { key: { type: 'http', scheme: 'bearer' } } },
     });
   },
--- a/packages/docs/src/settings-page.ts
+++ b/packages/docs/src/settings-page.ts
@@ -6,43 +6,45 @@
 import { markdownTable, pageHeader } from './generated-file.js';
 
 const INTRODUCTION = `
-Flags go before variables, variables before defaults. A list is comma-separated, and a flag that
-takes one may be repeated. All faults are listed at once, and a node with one does not start.
-\`--print-config\` shows what is in force and where each value came from. Keys are never printed;
-give them as variables, since the flags of a process can be seen by every user of its host.
+Flags take precedence over variables, and variables over defaults. A list is comma-separated, and a
+flag that takes a list may be repeated. All faults are listed at once, and a node with a fault does
+not start. \`--print-config\` shows the settings in force and the source of each. Keys are never
+printed; set them as variables, since every user of a host can see the flags of its processes.
 `;
 
-function fallbackOf(value: unknown): string {
+function defaultText(value: unknown): string {
   if (value === undefined) return 'required or unset';
   if (Array.isArray(value)) return value.join(',') || 'none';
   return String(value);
 }
 
-function table(options: SettingOptions): string {
+function settingsTable(options: SettingOptions): string {
   const rows = Object.entries(options).map(([flag, option]) => [
     `\`--${flag}\``,
     `\`${environmentVariableOf(flag)}\``,
-    fallbackOf(option.default),
+    defaultText(option.default),
     `${option.describe}${option.secret ? ' (secret)' : ''}`,
   ]);
   return markdownTable(['Flag', 'Variable', 'Default', 'Meaning'], rows);
 }
 
 function commandSection({ usage, summary, options, examples }: (typeof COMMANDS)[number]): string {
-  const lines = examples.map(([line, what]) => `# ${what}\nredwingcrank ${line}`).join('\n');
-  const own = Object.keys(options).length > 0 ? `\n${table(options)}\n` : '';
-  return `### ${usage}\n\n${summary}.\n\n\`\`\`sh\n${lines}\n\`\`\`\n${own}`;
+  const lines = examples
+    .map(([line, description]) => `# ${description}\nredwingcrank ${line}`)
+    .join('\n');
+  const optionTable = Object.keys(options).length > 0 ? `\n${settingsTable(options)}\n` : '';
+  return `### ${usage}\n\n${summary}.\n\n\`\`\`sh\n${lines}\n\`\`\`\n${optionTable}`;
 }
 
-/** Every setting of both programs, and every command. */
+/** The page of all settings of both programs, and of all commands. */
 export const settingsPage: GeneratedFile = {
   path: 'docs/SETTINGS.md',
   generate: () =>
     [
       pageHeader('Settings and commands', 'packages/daemon and packages/cli'),
       INTRODUCTION,
-      `## redwingcrankd\n\n${table(NODE_OPTIONS)}\n`,
-      `## redwingcrank, every command\n\n${table(COMMON_OPTIONS)}\n`,
+      `## redwingcrankd\n\n${settingsTable(NODE_OPTIONS)}\n`,
+      `## redwingcrank, every command\n\n${settingsTable(COMMON_OPTIONS)}\n`,
       '## The commands\n',
       ...COMMANDS.map(commandSection),
     ].join('\n'),
--- a/packages/docs/src/test/generated_test.ts
+++ b/packages/docs/src/test/generated_test.ts
@@ -5,7 +5,7 @@
 import { GENERATED_FILES, formatGeneratedFile } from '../index.js';
 
 for (const file of GENERATED_FILES) {
-  test(`${file.path} says what the code says`, async () => {
+  test(`${file.path} matches what the code generates`, async () => {
     const { path, text } = await formatGeneratedFile(file);
     const committed = (await readFile(path, 'utf8')).split('\n');
     const stale = committed.findIndex((line, i) => line !== text.split('\n')[i]);
--- a/packages/docs/src/test/links_test.ts
+++ b/packages/docs/src/test/links_test.ts
@@ -7,7 +7,7 @@
 const ROOT = fileURLToPath(new URL('../../../../', import.meta.url));
 const LINK = /\]\((?!https?:|#)([^)#]+)(?:#[^)]*)?\)/g;
 
-test('every link between the pages leads to a file', async () => {
+test('every link between the pages points to an existing file', async () => {
   const docs = await readdir(join(ROOT, 'docs'), { recursive: true });
   const pages = docs.filter((name) => name.endsWith('.md')).map((name) => join('docs', name));
   for (const page of ['README.md', ...pages]) {
