--- a/packages/cli/src/internal/cluster.ts
+++ b/packages/cli/src/internal/cluster.ts
@@ -7,7 +7,7 @@
   | { readonly client: AdminClient; readonly status: StatusView }
   | { readonly client: AdminClient; readonly reason: string };
 
-/** The nodes named on the command line. */
+/** The nodes that the settings name, queried together. */
 export class Cluster {
   readonly clients: readonly AdminClient[];
 
@@ -30,8 +30,8 @@
   }
 
   /**
-   * Queries one node per data centre: the one that has read the control stream furthest, since a
-   * node that lags would present a past state as the current one.
+   * Queries one node per data centre and returns the items of all. It picks the node that has read
+   * the control stream furthest: one that lags would present a past state as the current one.
    *
    * @throws CodedError (102) if no node answers.
    */
--- a/packages/cli/src/internal/commands/status.ts
+++ b/packages/cli/src/internal/commands/status.ts
@@ -7,7 +7,7 @@
 export class Status extends Command {
   readonly usage = 'status';
 
-  readonly summary = 'The state of each node, and the manifests rejected lately';
+  readonly summary = 'The state of each node, and the recently rejected manifests';
 
   readonly examples = [
     ['status --nodes 10.0.0.1:7003,10.0.0.2:7003', 'Query two nodes'],
--- a/packages/cli/src/internal/commands/why.ts
+++ b/packages/cli/src/internal/commands/why.ts
@@ -41,7 +41,7 @@
     out.value({ ...best, reasons, history });
     out.line(`${best.taskId}: ${best.state}, according to ${best.nodeId}`);
     for (const { reason, detail } of reasons) out.line(`  ${reason}: ${detail}`);
-    out.line(history.length > 0 ? 'Event history:' : 'No events of it are retained.');
+    out.line(history.length > 0 ? 'Event history:' : 'No events of the task are retained.');
     for (const event of history) out.line(`  ${formatEvent(event)}`);
   }
 }
--- a/packages/cli/src/internal/log-summary.ts
+++ b/packages/cli/src/internal/log-summary.ts
@@ -44,7 +44,7 @@
   readonly lostCpuS: number;
 }
 
-/** The service that the queues of an installation got, computed from its logs. */
+/** The service that the queues of an installation provided, computed from its logs. */
 export interface Summary {
   readonly lines: number;
   /** Number of lines that are truncated or were not written by a node. */
--- a/packages/docs/src/openapi.ts
+++ b/packages/docs/src/openapi.ts
@@ -41,7 +41,7 @@
   };
 }
 
-/** The OpenAPI description of the administration API, from the schemas that the code validates by. */
+/** The OpenAPI description of the administration API, generated from its validation schemas. */
 export const openapiFile: GeneratedFile = {
   path: 'docs/openapi.json',
   generate: () => {
