--- a/packages/daemon/src/test/entry-answers_test.ts
+++ b/packages/daemon/src/test/entry-answers_test.ts
@@ -11,26 +11,27 @@
   ({ socket }) =>
     socket.end(`HTTP/1.1 200 OK\r\n${head}\r\n\r\n${body}`);
 
-const CUT_ANSWERS: Record<string, Behaviour> = {
+const INCOMPLETE_ANSWERS: Record<string, Behaviour> = {
   'cut before its length': reply('content-length: 100', 'half'),
   'cut between two chunks': reply('transfer-encoding: chunked', '4\r\nhalf\r\n'),
   'cut after its headers': reply('content-length: 100'),
   'without a length or chunks': reply('x-none: 1', 'is this all?'),
 };
 
-for (const [name, behaviour] of Object.entries(CUT_ANSWERS)) {
-  test(`an answer ${name} never reaches the caller as a whole one`, async () => {
-    // The endpoint dies in the middle of its answer. The part that came looks whole wherever the
-    // end of the connection is taken for the end of the answer, so the caller must see an error:
-    // a lost connection, or a problem that says `unknown`. The hold may have run: it goes out once.
+for (const [name, behaviour] of Object.entries(INCOMPLETE_ANSWERS)) {
+  test(`an answer ${name} never reaches the caller as a complete one`, async () => {
+    // The endpoint dies in the middle of its answer. The partial answer looks complete to a reader
+    // that takes the end of the connection for the end of the answer, so the caller must see an
+    // error: a lost connection, or a problem with outcome `unknown`. The hold may have run, so it
+    // is sent only once.
     const entry = await new EntryFixture().start(2);
     entry.endpoints.forEach((endpoint) => Object.assign(endpoint, { behaviour }));
     for (const key of [undefined, 'k1']) {
       const headers: Record<string, string> = key === undefined ? {} : { 'idempotency-key': key };
       const path = `/hold-${key}`;
       const sent = sendRequest(`${entry.url}${path}`, { method: 'POST', body: 'x', headers });
-      const told = await sent.catch(() => undefined);
-      if (told) assert.deepEqual([told.status, told.outcome], [502, 'unknown']);
+      const received = await sent.catch(() => undefined);
+      if (received) assert.deepEqual([received.status, received.outcome], [502, 'unknown']);
       assert.equal(entry.runsOf(path), 1);
     }
     await entry.stop();
@@ -38,8 +39,8 @@
 }
 
 test('the second copy of an answer is never taken for the answer to the next request', async () => {
-  // The endpoint answers each request twice, the second time a moment later, when the connection
-  // is idle. Read as the answer to the next request it would give one caller another's booking.
+  // The endpoint answers each request twice, the second time shortly after, when the connection is
+  // idle. Read as the answer to the next request, it would give one caller another's booking.
   const entry = await new EntryFixture().start(1);
   const [endpoint] = entry.endpoints;
   assert.ok(endpoint);
@@ -54,9 +55,9 @@
   await entry.stop();
 });
 
-test('an answer that comes after its deadline goes nowhere', async () => {
-  // The first request is given up while the endpoint still works on it. Were its connection used
-  // again, the late answer would go to whoever is next on it.
+test('an answer that comes after its deadline reaches no caller', async () => {
+  // The first request is aborted while the endpoint still works on it. If its connection were
+  // reused, the late answer would be taken for the answer to the next request on it.
   const entry = await new EntryFixture().start(1);
   const [endpoint] = entry.endpoints;
   assert.ok(endpoint);
@@ -75,8 +76,8 @@
   await entry.stop();
 });
 
-test('an answer larger than every buffer arrives whole at a slow caller', async () => {
-  // 24 MB go through with the caller pausing: neither lost, doubled nor kept in memory at once.
+test('an answer larger than every buffer arrives complete at a slow caller', async () => {
+  // The caller pauses while it reads 24 MB; no byte may be lost or repeated under backpressure.
   const entry = await new EntryFixture().start(1);
   const [endpoint] = entry.endpoints;
   assert.ok(endpoint);
@@ -99,7 +100,7 @@
 });
 
 test('answers without a body keep their framing', async () => {
-  // HEAD, 204 and 304 announce or imply a body that never comes: nobody may wait for one.
+  // HEAD, 204 and 304 announce or imply a body that never comes; the entry must not wait for it.
   const entry = await new EntryFixture().start(1);
   const [endpoint] = entry.endpoints;
   assert.ok(endpoint);
--- a/packages/daemon/src/test/entry-fixture.ts
+++ b/packages/daemon/src/test/entry-fixture.ts
@@ -17,13 +17,13 @@
 
 const HOSTS = [{ nodeId: 'n1', dataCentre: 'dc1' }];
 
-/** Longer than the test of the drain pauses, on a busy machine as well. */
+/** Longer than the pause in the test of the drain, even on a busy machine. */
 const DRAIN_IDLE_MS = 500;
 
 const WINDOW_MS = 600_000;
 
 function manifestOf(slots: number): Manifest {
-  const reading = readManifest({
+  const parsed = readManifest({
     apiVersion: 'redwingcrank/v1',
     version: 1,
     replaces: 0,
@@ -42,18 +42,18 @@
     ],
     jobs: [],
   });
-  if (!reading.ok) throw new Error(JSON.stringify(reading.faults));
-  return reading.manifest;
+  if (!parsed.ok) throw new Error(JSON.stringify(parsed.faults));
+  return parsed.manifest;
 }
 
-const started = new Set<EntryFixture>();
+const runningFixtures = new Set<EntryFixture>();
 
-// A test that fails must not leave a listener behind that keeps its process from ending.
+// The listener of a failed test must not keep its process from ending.
 afterEach(async () => {
-  for (const fixture of started) await fixture.stop();
+  for (const fixture of runningFixtures) await fixture.stop();
 });
 
-/** The entry role of one node in this process, before endpoints that misbehave. */
+/** The entry role of one node in this process, in front of endpoints with any behaviour. */
 export class EntryFixture {
   readonly endpoints: RawEndpoint[] = [];
 
@@ -67,11 +67,11 @@
 
   port = 0;
 
-  constructor(slots = 8, knowsKeys = true) {
+  constructor(slots = 8, hasNoPredecessor = true) {
     const manifest = manifestOf(slots);
     const metrics = new EntryMetrics(new Registry());
-    const local = () => 1;
-    this.#pool = new EndpointPool({ dataCentre: 'dc1', entryHosts: 1, localEntryHosts: local });
+    const localEntryHosts = () => 1;
+    this.#pool = new EndpointPool({ dataCentre: 'dc1', entryHosts: 1, localEntryHosts });
     const endpoints = () => [
       this.#addresses.map((address) => ({ address, taskId: 't', dataCentre: 'dc1', hostId: 'h' })),
     ];
@@ -85,7 +85,7 @@
       hostsDigest: digestOfHosts(HOSTS),
       windowMs: WINDOW_MS,
     });
-    home.open(knowsKeys ? 'nobody' : undefined);
+    home.open(hasNoPredecessor ? 'nobody' : undefined);
     const homeClient = {
       silent: () => true,
       runKeyed: () => Promise.reject(new Error('this node is the only one')),
@@ -105,7 +105,7 @@
   }
 
   async start(endpoints: number): Promise<this> {
-    started.add(this);
+    runningFixtures.add(this);
     for (let i = 0; i < endpoints; i += 1) {
       const endpoint = new RawEndpoint();
       this.endpoints.push(endpoint);
@@ -115,7 +115,7 @@
     return this;
   }
 
-  /** How often a path was read whole, over all endpoints. */
+  /** Returns how many complete requests for a path all endpoints received. */
   runsOf(path: string): number {
     return this.endpoints.flatMap(({ runs }) => runs).filter((run) => run === path).length;
   }
@@ -125,13 +125,13 @@
   }
 
   async stop(): Promise<void> {
-    started.delete(this);
+    runningFixtures.delete(this);
     await this.drain();
     this.#pool.destroy();
     this.endpoints.forEach((endpoint) => endpoint.close());
   }
 
-  /** Sends bytes as they are and returns all that comes until the connection ends. */
+  /** Sends raw bytes and returns all received text until the connection ends. */
   raw(bytes: string): Promise<string> {
     return new Promise((resolve) => {
       const socket = net.connect(this.port, '127.0.0.1');
@@ -155,7 +155,11 @@
   readonly headers: Headers;
 }
 
-/** Sends a request and reads its answer whole. @throws Error where the answer was cut. */
+/**
+ * Sends a request and reads the complete answer.
+ *
+ * @throws Error if the answer was cut short.
+ */
 export async function sendRequest(url: string, init: RequestInit = {}): Promise<ReceivedAnswer> {
   const res = await fetch(url, init);
   const text = await res.text();
--- a/packages/daemon/src/test/entry-framing_test.ts
+++ b/packages/daemon/src/test/entry-framing_test.ts
@@ -7,7 +7,7 @@
 
 const HEAD = 'POST /s/hold HTTP/1.1\r\nhost: x\r\n';
 
-/** Requests of which two readers could see two different things, and the status of the refusal. */
+/** Requests that two parsers could read differently, with the status of the refusal. */
 const AMBIGUOUS: Record<string, [string, string]> = {
   'both a length and chunks': [
     `${HEAD}content-length: 4\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n`,
@@ -16,7 +16,7 @@
   'two lengths': [`${HEAD}content-length: 4\r\ncontent-length: 5\r\n\r\nabcde`, '400'],
   'a space before the colon': [`${HEAD}content-length : 4\r\n\r\nabcd`, '400'],
   'no HTTP/1.1': ['POST /s/hold HTTP/1.0\r\nhost: x\r\ncontent-length: 1\r\n\r\nx', '400'],
-  'a key of no characters': [
+  'an empty key': [
     `${HEAD}connection: close\r\nidempotency-key: \r\ncontent-length: 1\r\n\r\nx`,
     '400',
   ],
@@ -35,7 +35,7 @@
   });
 }
 
-test('a caller that hangs up in the middle of its body has run nothing', async () => {
+test('a request whose caller disconnects in the middle of its body is not run', async () => {
   const entry = await new EntryFixture().start(1);
   const socket = net.connect(entry.port, '127.0.0.1');
   socket.write(`${HEAD}content-length: 10\r\n\r\nhalf`);
@@ -46,7 +46,7 @@
   await entry.stop();
 });
 
-test('a caller that waits for 100 Continue gets it, and the endpoint never sees the wish', async () => {
+test('a caller that waits for 100 Continue gets it, and the endpoint never sees the header', async () => {
   const entry = await new EntryFixture().start(1);
   const [endpoint] = entry.endpoints;
   assert.ok(endpoint);
@@ -61,9 +61,9 @@
   await entry.stop();
 });
 
-test('a drain answers what runs and what comes on idle connections, with Connection: close', async () => {
-  // A request runs and another connection is idle when the drain begins. The running one is
-  // answered whole. The caller of the idle one sends a moment later: that is answered as well.
+test('a drain answers running requests and those on idle connections, with Connection: close', async () => {
+  // When the drain starts, one request runs and another connection is idle. The running request is
+  // answered completely. So is a request that is sent shortly after on the idle connection.
   const entry = await new EntryFixture().start(1);
   const [endpoint] = entry.endpoints;
   assert.ok(endpoint);
--- a/packages/daemon/src/test/entry-sends_test.ts
+++ b/packages/daemon/src/test/entry-sends_test.ts
@@ -13,16 +13,16 @@
   return ({ socket }) => socket.write(`HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n${header}\r\n`);
 };
 
-test('a silent connection: a check goes elsewhere in time, a hold ends unknown after one send', async () => {
-  // One endpoint reads requests and never answers. A check that meets it is sent again before its
-  // deadline; a hold may have run there, so its caller is told `unknown` and it goes out once.
+test('after a silent send, a check goes to another endpoint in time and a hold ends unknown', async () => {
+  // One endpoint reads requests and never answers. A check sent to it is sent again before its
+  // deadline. A hold may have run there, so its outcome is `unknown` and it is sent only once.
   const entry = await new EntryFixture().start(2);
-  const [mute] = entry.endpoints;
-  assert.ok(mute);
-  mute.behaviour = silent;
-  const patient = { headers: { 'x-request-timeout-ms': '10000' } };
+  const [silentEndpoint] = entry.endpoints;
+  assert.ok(silentEndpoint);
+  silentEndpoint.behaviour = silent;
+  const longDeadline = { headers: { 'x-request-timeout-ms': '10000' } };
   const checks = Array.from({ length: 4 }, (_, i) =>
-    sendRequest(`${entry.url}/check-${i}`, patient),
+    sendRequest(`${entry.url}/check-${i}`, longDeadline),
   );
   assert.ok((await Promise.all(checks)).every(({ status }) => status === 200));
   for (let i = 0; i < 6; i += 1) {
@@ -33,8 +33,8 @@
   await entry.stop();
 });
 
-test('a connection that breaks after the request was read ends a hold as unknown', async () => {
-  // The endpoint reads the hold and resets the connection. Whether it ran nobody here can know.
+test('a hold ends unknown if its connection breaks after the request was read', async () => {
+  // The endpoint reads the hold and resets the connection, so the entry cannot know if it ran.
   const entry = await new EntryFixture().start(3);
   const reset: Behaviour = ({ socket }) => socket.resetAndDestroy();
   entry.endpoints.forEach((endpoint) => Object.assign(endpoint, { behaviour: reset }));
@@ -44,9 +44,9 @@
   await entry.stop();
 });
 
-test('a hold goes elsewhere only where the endpoint itself says that it did not run', async () => {
-  // Two endpoints answer 503. With the documented header the hold may go to the next one and at
-  // last is refused as `not-run`; without it the 503 is an answer like any other.
+test('a hold is sent again only if the endpoint itself states that it did not run', async () => {
+  // Two endpoints answer 503. With the documented header, the hold may be sent to the other one and
+  // is finally refused as `not-run`; without the header, the 503 is an ordinary answer.
   const entry = await new EntryFixture().start(2);
   const [first, second] = entry.endpoints;
   assert.ok(first && second);
@@ -62,7 +62,7 @@
   await entry.stop();
 });
 
-test('no endpoint that takes a connection: refused as not run, with when to come back', async () => {
+test('without a reachable endpoint a hold is refused as not run, with Retry-After', async () => {
   const entry = await new EntryFixture().start(2);
   entry.endpoints.forEach((endpoint) => endpoint.close());
   const { status, outcome, headers } = await sendRequest(`${entry.url}/hold`, POST);
@@ -71,7 +71,7 @@
   await entry.stop();
 });
 
-test('a refused request is found on the time line by its key or its trace', async () => {
+test('a refused request is found in the timeline by its key or its trace', async () => {
   const entry = await new EntryFixture().start(0);
   const traceparent = '00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01';
   await sendRequest(`${entry.url}/hold`, { ...POST, headers: { 'idempotency-key': 'k-1' } });
@@ -86,9 +86,9 @@
   await entry.stop();
 });
 
-test('overload: what cannot make its deadline is refused at once and truly did not run', async () => {
-  // One slot of 100 ms, and 40 requests at once that all want an answer within 5 s. Those that
-  // cannot have one hear so at once, rather than after a wait in vain.
+test('under overload, requests that cannot meet their deadline are refused at once and not run', async () => {
+  // One slot serves a request in 100 ms, and 40 requests with a deadline of 5 s arrive at once.
+  // Those that cannot meet it must be refused at once instead of after a useless wait.
   const entry = await new EntryFixture(1).start(1);
   const [endpoint] = entry.endpoints;
   assert.ok(endpoint);
@@ -98,31 +98,31 @@
   await sendRequest(`${entry.url}/first`);
   const startedAt = performance.now();
   const headers = { 'x-request-timeout-ms': '5000' };
-  const told = await Promise.all(
+  const received = await Promise.all(
     Array.from({ length: 40 }, (_, i) =>
       sendRequest(`${entry.url}/hold-${i}`, { ...POST, headers }),
     ),
   );
   const elapsedMs = performance.now() - startedAt;
-  for (const [i, { code, outcome, headers: got }] of told.entries()) {
+  for (const [i, { code, outcome, headers: receivedHeaders }] of received.entries()) {
     if (code === 303) {
       assert.equal(outcome, 'not-run');
       assert.equal(entry.runsOf(`/hold-${i}`), 0);
-      assert.ok(Number(got.get('retry-after')) >= 1);
+      assert.ok(Number(receivedHeaders.get('retry-after')) >= 1);
     }
   }
-  const refused = told.filter(({ code }) => code === 303);
-  const served = told.filter(({ status }) => status === 200);
+  const refused = received.filter(({ code }) => code === 303);
+  const served = received.filter(({ status }) => status === 200);
   assert.equal(served.length + refused.length, 40);
-  // The slot serves ten a second, whatever the speed of this machine; none waits for a deadline.
+  // The slot serves ten requests a second on any machine; no request waits until its deadline.
   assert.ok(served.length >= 2 && served.length <= elapsedMs / 100 + 1, `${served.length} served`);
-  assert.ok(elapsedMs < 5_000, `all told after ${elapsedMs} ms`);
+  assert.ok(elapsedMs < 5_000, `all answered after ${elapsedMs} ms`);
   await entry.stop();
 });
 
-test('a caller that goes away frees its slot', async () => {
-  // One slot, and a caller that hangs up while it waits. Were the slot kept, all others would be
-  // refused until the endpoint answers, which it never does.
+test('a caller that disconnects frees its slot', async () => {
+  // The only slot is used by a caller that disconnects while it waits. If the slot stayed in use,
+  // all other requests would be refused, because the endpoint never answers.
   const entry = await new EntryFixture(1).start(1);
   const [endpoint] = entry.endpoints;
   assert.ok(endpoint);
@@ -138,8 +138,8 @@
   await entry.stop();
 });
 
-test('a key runs once: repeats join the run, then get its answer; other content is refused', async () => {
-  // The caller sends the key again while the first is running, and again when it is done.
+test('a key runs once: repeats join the run or get its answer; other content is refused', async () => {
+  // The caller repeats the key while the first request runs, and again after it has completed.
   const entry = await new EntryFixture().start(2);
   const slow: Behaviour = (req) => setTimeout(() => answer(req), 200);
   entry.endpoints.forEach((endpoint) => Object.assign(endpoint, { behaviour: slow }));
@@ -161,8 +161,8 @@
   await entry.stop();
 });
 
-test('a key whose answer came after the deadline gives it to the next send', async () => {
-  // The first caller is told `unknown` at its deadline; the run goes on, and its answer is kept.
+test('an answer that came after the deadline of its key is returned to the next send', async () => {
+  // The first send ends `unknown` at its deadline; the run continues, and its answer is kept.
   const entry = await new EntryFixture().start(1);
   const [endpoint] = entry.endpoints;
   assert.ok(endpoint);
@@ -181,16 +181,16 @@
   await entry.stop();
 });
 
-test('a home that was started again runs no key that may be older than its memory', async () => {
-  // Its predecessor may have run the key and died with the answer. An age that is too young for
-  // that is not young enough either while a delayed send may still be on its way.
+test('a restarted home runs no key that may be older than its memory', async () => {
+  // Its predecessor may have run the key and died with the answer. A young key is refused as well
+  // while a delayed earlier send of the key may still arrive.
   const entry = await new EntryFixture(8, false).start(1);
   for (const age of [undefined, '0', '5000']) {
     const headers: Record<string, string> = { 'idempotency-key': 'k1' };
     if (age !== undefined) Object.assign(headers, { 'x-idempotency-key-age-ms': age });
-    const told = await sendRequest(`${entry.url}/hold`, { ...POST, headers });
-    assert.deepEqual([told.code, told.outcome], [309, 'unknown']);
-    assert.equal((JSON.parse(told.text) as { thisSend: string }).thisSend, 'not-run');
+    const received = await sendRequest(`${entry.url}/hold`, { ...POST, headers });
+    assert.deepEqual([received.code, received.outcome], [309, 'unknown']);
+    assert.equal((JSON.parse(received.text) as { thisSend: string }).thisSend, 'not-run');
   }
   assert.equal(entry.runsOf('/hold'), 0);
   await entry.stop();
--- a/packages/daemon/src/test/home-history_test.ts
+++ b/packages/daemon/src/test/home-history_test.ts
@@ -4,7 +4,7 @@
 import { PlatformLog } from '@redwingcrank/ports';
 import { registerIncarnation } from '../internal/home-history.js';
 
-/** A log that already has records, and may have lost the oldest. */
+/** A log that already has records, of which the oldest may have expired. */
 class ListLog extends PlatformLog {
   readonly #values: string[];
 
@@ -30,15 +30,15 @@
   }
 }
 
-test('a process learns who had its name before', async () => {
-  // Taking a memory for complete that lacks a process in between would run its keys again.
+test('a process finds the process that had its name before', async () => {
+  // With a memory that misses a process in between, that process's keys would run again.
   assert.deepEqual(await registerIncarnation(new ListLog([]), 'n', 'c'), { type: 'nobody' });
   const known = { type: 'known', incarnation: 'b' };
   assert.deepEqual(await registerIncarnation(new ListLog(['a', 'b']), 'n', 'c'), known);
-  // The append of `a` was cut off, repeated, and its first copy came when `b` had come and gone.
+  // `a` repeated its append after a lost answer, and one copy arrived after `b` had ended.
   assert.deepEqual(await registerIncarnation(new ListLog(['a', 'b', 'a']), 'n', 'c'), known);
-  // Its own answer was lost, so its record is there twice.
+  // The answer to its own append was lost, so its record is in the log twice.
   assert.deepEqual(await registerIncarnation(new ListLog(['a', 'b', 'c']), 'n', 'c'), known);
-  // The oldest records expired: a predecessor may have run keys until a moment ago.
+  // The oldest records have expired: a predecessor may have run keys until shortly before.
   assert.deepEqual(await registerIncarnation(new ListLog(['a'], 1), 'n', 'c'), { type: 'unknown' });
 });
--- a/packages/daemon/src/test/peer-task_test.ts
+++ b/packages/daemon/src/test/peer-task_test.ts
@@ -10,7 +10,7 @@
 const IP = '127.0.0.1';
 const HELLO_MS = 20;
 const SILENCE_MS = 5_000;
-const KEYS = { old: 'the-old-key-of-peers', fresh: 'the-new-key-of-peers' };
+const KEYS = { old: 'the-old-key-of-peers', new: 'the-new-key-of-peers' };
 
 const hello = (nodeId: string): Hello => ({
   nodeId,
@@ -25,9 +25,9 @@
   hlc: '000000000aa.0000',
 });
 
-const open: (() => void)[] = [];
+const cleanups: (() => void)[] = [];
 
-after(() => open.forEach((close) => close()));
+after(() => cleanups.forEach((close) => close()));
 
 async function startTask(
   nodeId: string,
@@ -50,32 +50,32 @@
   });
   const port = await task.listen(0, IP);
   task.start();
-  open.push(() => task.stop());
+  cleanups.push(() => task.stop());
   return { task, port };
 }
 
-/** A peer that gives one answer to everything; settles `asked` once it was asked so often. */
+/** Starts a peer with one answer to every request; `asked` resolves after the given number. */
 async function startAnswering(body: object, times: number) {
   let answered = 0;
-  let told: (() => void) | undefined;
+  let resolveAsked: (() => void) | undefined;
   const asked = new Promise<void>((resolve) => {
-    told = resolve;
+    resolveAsked = resolve;
   });
   const server = http.createServer((_req, res) => {
     res
       .setHeader('content-type', 'application/json')
       .end(JSON.stringify({ result: { data: body } }));
     answered += 1;
-    if (answered === times) told?.();
+    if (answered === times) resolveAsked?.();
   });
   await new Promise<void>((resolve) => {
     server.listen(0, IP, resolve);
   });
-  open.push(() => server.close());
+  cleanups.push(() => server.close());
   return { port: (server.address() as AddressInfo).port, asked };
 }
 
-function say(port: number, body: object, key = KEYS.old): Promise<Response> {
+function postHello(port: number, body: object, key = KEYS.old): Promise<Response> {
   const headers = { 'content-type': 'application/json', authorization: `Bearer ${key}` };
   return fetch(`http://${IP}:${port}/hello`, {
     method: 'POST',
@@ -84,14 +84,18 @@
   });
 }
 
-test('a peer of the next version is heard with more fields, and told which one it lacks', async () => {
-  // A rolling upgrade: the newer node calls the older one. Its additional field is ignored; where
-  // it no longer sends one that the older node needs, it gets a refusal that names the field.
+test('a hello with additional fields is accepted, and one without a field is refused by its name', async () => {
+  // In a rolling upgrade a newer node calls an older one. Its additional fields are ignored. If it
+  // no longer sends a field that the older node needs, the refusal names the field.
   const { port } = await startTask('n1', [KEYS.old]);
-  const more = await say(port, { ...hello('n2'), zone: 'z1', roles: ['scheduler', 'observer'] });
+  const more = await postHello(port, {
+    ...hello('n2'),
+    zone: 'z1',
+    roles: ['scheduler', 'observer'],
+  });
   assert.equal(more.status, 200);
   const { roles: _roles, ...less } = hello('n2');
-  const refusal = await say(port, less);
+  const refusal = await postHello(port, less);
   const { error } = (await refusal.json()) as {
     error: { message: string; data: { resultCode: number } };
   };
@@ -99,9 +103,9 @@
   assert.match(error.message, /^roles: expected/);
 });
 
-test('a peer that answers without a field counts as silent and ends nobody', async () => {
-  // The older node calls the newer one. Its answer lacks `roles`; taken as it is, the next look at
-  // who schedules would throw out of a timer and end the process.
+test('a peer that answers without a field counts as silent and does not end the process', async () => {
+  // An older node calls a newer one, whose answer lacks `roles`. Without validation, the next check
+  // for scheduler nodes would throw in a timer and end the process.
   const { roles: _roles, ...less } = hello('n2');
   const peer = await startAnswering(less, 3);
   const { task } = await startTask('n1', [KEYS.old], { n2: peer.port });
@@ -109,17 +113,17 @@
   assert.deepEqual(task.alive(), []);
 });
 
-test('the key of peers is rotated without a gap', async () => {
-  // Three steps on every node: add the new key last, move it to the front, take the old one away.
-  // At each moment two nodes may be a step apart; they must accept one another all the same.
-  const steps = [[KEYS.old], [KEYS.old, KEYS.fresh], [KEYS.fresh, KEYS.old], [KEYS.fresh]];
+test('nodes accept each other at every step of a rotation of the peer key', async () => {
+  // Each node goes through three steps: add the new key last, move it to the front, remove the old
+  // key. At any time two nodes may be one step apart, and must still accept each other.
+  const steps = [[KEYS.old], [KEYS.old, KEYS.new], [KEYS.new, KEYS.old], [KEYS.new]];
   for (const [i, keys] of steps.slice(1).entries()) {
     const ahead = new SharedKeys(keys);
     const behind = new SharedKeys(steps[i] ?? []);
     assert.ok(behind.accepts(ahead.headers().authorization), `step ${i + 1}: newer to older`);
     assert.ok(ahead.accepts(behind.headers().authorization), `step ${i + 1}: older to newer`);
   }
-  const { port } = await startTask('n1', [KEYS.fresh]);
-  assert.equal((await say(port, hello('n2'), KEYS.fresh)).status, 200);
-  assert.equal((await say(port, hello('n2'), KEYS.old)).status, 401);
+  const { port } = await startTask('n1', [KEYS.new]);
+  assert.equal((await postHello(port, hello('n2'), KEYS.new)).status, 200);
+  assert.equal((await postHello(port, hello('n2'), KEYS.old)).status, 401);
 });
--- a/packages/daemon/src/test/raw-endpoint.ts
+++ b/packages/daemon/src/test/raw-endpoint.ts
@@ -1,7 +1,7 @@
 import net from 'node:net';
 import type { AddressInfo } from 'node:net';
 
-/** One request as it came over TCP. */
+/** A request as received over TCP. */
 export interface RawRequest {
   readonly path: string;
   readonly text: string;
@@ -10,7 +10,7 @@
 
 export type Behaviour = (req: RawRequest) => void;
 
-/** An endpoint that can do what no HTTP server would: it writes bytes as its behaviour says. */
+/** An endpoint that can violate HTTP: its behaviour writes any bytes to the connection. */
 export class RawEndpoint {
   readonly #server: net.Server;
 
@@ -18,7 +18,7 @@
 
   behaviour: Behaviour = (req) => answer(req);
 
-  /** The paths of the requests that were read whole. */
+  /** The paths of the requests that were received completely. */
   readonly runs: string[] = [];
 
   constructor() {
@@ -49,7 +49,7 @@
     let text = '';
     socket.on('data', (chunk) => {
       text += chunk.toString('latin1');
-      if (!isWhole(text)) return;
+      if (!isComplete(text)) return;
       const path = text.split(' ', 2)[1] ?? '';
       this.runs.push(path);
       this.behaviour({ path, text, socket });
@@ -58,13 +58,13 @@
   }
 }
 
-function isWhole(text: string): boolean {
+function isComplete(text: string): boolean {
   const end = text.indexOf('\r\n\r\n');
   const length = Number(/content-length: (\d+)/i.exec(text)?.[1] ?? 0);
   return end >= 0 && text.length >= end + 4 + length;
 }
 
-/** Answers as a good endpoint does, with the request's path as body. */
+/** Answers as a correct endpoint does, with the request's path as body. */
 export function answer({ path, socket }: RawRequest): void {
   socket.write(`HTTP/1.1 200 OK\r\ncontent-length: ${path.length}\r\n\r\n${path}`);
 }
--- a/packages/daemon/src/test/stream-follower_test.ts
+++ b/packages/daemon/src/test/stream-follower_test.ts
@@ -8,7 +8,7 @@
 
 type Answer = LogPage | 'fails' | 'pending';
 
-/** Gives the answers it was told, one for each read; then it stays silent. */
+/** A log that returns the given answers, one for each read, and then stays silent. */
 class ScriptedLog extends PlatformLog {
   readonly #answers: Answer[];
 
@@ -38,23 +38,23 @@
   entries: offsets.map((offset) => ({ offset, value: offset })),
 });
 
-const settle = () => new Promise(setImmediate);
+const flushPromises = () => new Promise(setImmediate);
 
-test('records lost to retention are told before those that follow', async () => {
-  // A node is paused for longer than the log keeps records. Its next read starts behind the gap;
-  // were that not told, the node would fold the rest as though nothing were missing.
+test('records lost to retention are reported before those that follow', async () => {
+  // A node is paused for longer than the log keeps records. Its next read starts after the gap;
+  // without a report, the node would fold the rest as if nothing were missing.
   const follower = new StreamFollower(new ScriptedLog([page(0, [0], 1), page(7, [7], 8)]), 's');
   const seen: unknown[] = [];
   follower.entries$.subscribe((entry) => seen.push(entry.offset));
   follower.lost$.subscribe((lost) => seen.push(lost));
   follower.run();
-  await settle();
+  await flushPromises();
   assert.deepEqual(seen, [0, { from: 1, first: 7 }, 7]);
 });
 
 test('a read that failed or hangs does not count as the last successful one', async () => {
-  // A lease is held on the strength of the newest read. The log fails, then goes silent: the time
-  // must stay that of the last read which answered, whatever was started since.
+  // A node may renew leases only up to a time after its newest read. When the log fails and then
+  // becomes silent, the time must stay that of the last read with an answer.
   const { timers } = mock;
   timers.enable({ apis: ['setTimeout'] });
   try {
@@ -62,11 +62,11 @@
     const follower = new StreamFollower(log, 's');
     assert.equal(follower.lastReadStartedAt, -Infinity);
     follower.run();
-    await settle();
+    await flushPromises();
     const startedAt = follower.lastReadStartedAt;
     assert.ok(startedAt <= performance.now() && startedAt > 0);
     timers.tick(1_000);
-    await settle();
+    await flushPromises();
     assert.equal(log.reads, 3);
     assert.equal(follower.lastReadStartedAt, startedAt);
   } finally {
@@ -74,7 +74,7 @@
   }
 });
 
-test('pauses after failures grow to one second, spread over half of it', () => {
+test('pauses after failures grow up to one second, with jitter over half of it', () => {
   const pauses = (draw: number) => {
     const backoff = new Backoff(() => draw);
     return Array.from({ length: 8 }, () => backoff.next());
--- a/packages/daemon/src/test/throttler_test.ts
+++ b/packages/daemon/src/test/throttler_test.ts
@@ -21,17 +21,17 @@
   return fold;
 }
 
-test('a share is told once, again after a failed call, and in full by a new holder', async () => {
-  // The last holder throttled a task and died. Its successor knows of no throttle; were it to say
-  // nothing, the task would run at half speed until its end. Then a call to the worker fails: it
-  // may have taken effect or not, so the same share is said again, and after success no more.
-  const told: number[] = [];
+test('a share is sent once, again after a failed call, and by each new holder', async () => {
+  // The previous holder throttled a task and died. Its successor does not know that; if it did not
+  // send the full share, the task would stay throttled until its end. Then a call to the worker
+  // fails and may have taken effect, so the same share is sent again, but not after a success.
+  const sentShares: number[] = [];
   let share = 1;
-  let broken = false;
+  let callsFail = false;
   const workers = {
     throttle: (_address: string, message: ThrottleMessage): Promise<WorkerReport> => {
-      told.push(message.share);
-      if (broken) return Promise.reject(new Error('no answer'));
+      sentShares.push(message.share);
+      if (callsFail) return Promise.reject(new Error('no answer'));
       return Promise.resolve({} as WorkerReport);
     },
   };
@@ -46,15 +46,15 @@
   };
   await sweep();
   await sweep();
-  assert.deepEqual(told, [1]);
+  assert.deepEqual(sentShares, [1]);
   share = 0.5;
-  broken = true;
+  callsFail = true;
   await sweep();
-  broken = false;
+  callsFail = false;
   await sweep();
   await sweep();
-  assert.deepEqual(told, [1, 0.5, 0.5]);
+  assert.deepEqual(sentShares, [1, 0.5, 0.5]);
   throttler.forget();
   await sweep();
-  assert.deepEqual(told, [1, 0.5, 0.5, 0.5]);
+  assert.deepEqual(sentShares, [1, 0.5, 0.5, 0.5]);
 });
