--- a/packages/daemon/src/internal/admin-api.ts
+++ b/packages/daemon/src/internal/admin-api.ts
@@ -152,7 +152,7 @@
       host: param('host'),
       kind: param('kind'),
     };
-    // One more than asked for shows whether there is a next page.
+    // Requesting one more event shows whether there is a next page.
     const found = this.#source.events(param('after') ?? '', limit + 1, filter);
     const events = found.slice(0, limit);
     return { events, next: found.length > limit ? (events.at(-1)?.hlc ?? null) : null };
--- a/packages/daemon/src/internal/dispatcher.ts
+++ b/packages/daemon/src/internal/dispatcher.ts
@@ -127,7 +127,7 @@
   async #takeSlot(relayed: RelayedRequest): Promise<Endpoint> {
     const { service } = relayed;
     const { queue } = this.#stateOf(service);
-    // Requests that wait already come first.
+    // Requests that already wait come first.
     const endpoint = queue.length === 0 ? this.#pick(relayed, new Set()) : undefined;
     if (endpoint) return this.#occupy(service, endpoint);
     const capacity = this.#capacityOf(service);
--- a/packages/daemon/src/internal/event-log.ts
+++ b/packages/daemon/src/internal/event-log.ts
@@ -5,7 +5,7 @@
 import { matchesFilter } from '@redwingcrank/protocol';
 
 /** How many events a node keeps for the timeline; older events are only in the logs. */
-const KEPT_EVENTS = 5_000;
+const MAX_KEPT_EVENTS = 5_000;
 
 export type EventLevel = 'debug' | 'info' | 'warn' | 'error';
 
@@ -34,7 +34,7 @@
   emit(level: EventLevel, event: string, fields: EventFields = {}): void {
     const entry = { hlc: this.#clock.tick(), node: this.#node, event, fields };
     this.#events.push(entry);
-    if (this.#events.length > KEPT_EVENTS) this.#events.shift();
+    if (this.#events.length > MAX_KEPT_EVENTS) this.#events.shift();
     this.events$.next(entry);
     const at = new Date().toISOString();
     this.#logger[level](
--- a/packages/daemon/src/internal/forward.ts
+++ b/packages/daemon/src/internal/forward.ts
@@ -27,7 +27,7 @@
 
 const BODILESS_STATUSES = new Set([204, 304]);
 
-function saysNotRun(res: http.IncomingMessage): boolean {
+function statesNotRun(res: http.IncomingMessage): boolean {
   return res.statusCode === SERVICE_UNAVAILABLE && res.headers[NOT_RUN_HEADER] === 'true';
 }
 
@@ -42,7 +42,7 @@
 }
 
 function resultOf(method: string, res: http.IncomingMessage): ForwardResult {
-  if (saysNotRun(res)) {
+  if (statesNotRun(res)) {
     res.resume();
     return { type: 'not-run', reason: 'the endpoint says it did not run' };
   }
--- a/packages/daemon/src/internal/key-home-task.ts
+++ b/packages/daemon/src/internal/key-home-task.ts
@@ -17,7 +17,7 @@
   readonly windowMs: number;
 }
 
-type Answered = Extract<KeyedAnswer, { type: 'answer' }>;
+type AnswerResult = Extract<KeyedAnswer, { type: 'answer' }>;
 
 /** Upper bound of the time that a request may stay in the socket of a paused or slow entry host. */
 const MAX_DELAY_MS = 30_000;
@@ -44,7 +44,7 @@
 export class KeyHomeTask {
   readonly #options: KeyHomeOptions;
 
-  readonly #table: KeyTable<Answered>;
+  readonly #table: KeyTable<AnswerResult>;
 
   readonly #running = new Map<string, Promise<KeyedAnswer>>();
 
@@ -142,7 +142,7 @@
     return answer;
   }
 
-  /** Runs a key for the only time and records the outcome, whatever it is. */
+  /** Runs a key and records the outcome, whatever it is, so that the key never runs again. */
   async #run(call: KeyedRequest): Promise<KeyedAnswer> {
     try {
       const answer = await this.#send(call);
@@ -159,7 +159,7 @@
     }
   }
 
-  async #send(call: KeyedRequest): Promise<Answered> {
+  async #send(call: KeyedRequest): Promise<AnswerResult> {
     if (this.#draining) throw new RequestError('draining', 'the home shuts down', 'not-run');
     const service = this.#options.service(call.service);
     if (!service) throw new RequestError('noSuchService', call.service, 'not-run');
@@ -194,7 +194,7 @@
   return `${service} ${key}`;
 }
 
-function runOutcomeOf(outcome: RequestError['outcome']): RunOutcome<Answered> {
+function runOutcomeOf(outcome: RequestError['outcome']): RunOutcome<AnswerResult> {
   // The answer was too large to keep: the key ran, and a repeat must learn that.
   if (outcome === 'ran') return { type: 'ran' };
   return { type: outcome };
--- a/packages/daemon/src/internal/key-memory-store.ts
+++ b/packages/daemon/src/internal/key-memory-store.ts
@@ -1,7 +1,7 @@
 import type { KeyMemorySnapshot, StoredKeyMemory } from '@redwingcrank/protocol';
 
 /** A home that is down for longer starts without its predecessor's memory. */
-const KEEP_MS = 600_000;
+const RETENTION_MS = 600_000;
 
 interface StoredMemory {
   readonly memory: KeyMemorySnapshot;
@@ -18,10 +18,10 @@
 
   /** Removes and returns a node's memory, so that each memory is taken over once. */
   take(nodeId: string): StoredKeyMemory | null {
-    const kept = this.#memories.get(nodeId);
+    const stored = this.#memories.get(nodeId);
     this.#memories.delete(nodeId);
-    if (!kept) return null;
-    const heldMs = performance.now() - kept.storedAt;
-    return heldMs > KEEP_MS ? null : { memory: kept.memory, heldMs };
+    if (!stored) return null;
+    const heldMs = performance.now() - stored.storedAt;
+    return heldMs > RETENTION_MS ? null : { memory: stored.memory, heldMs };
   }
 }
--- a/packages/daemon/src/internal/keyed-requests.ts
+++ b/packages/daemon/src/internal/keyed-requests.ts
@@ -52,7 +52,11 @@
     this.#hostsDigest = digestOfHosts(options.hosts);
   }
 
-  /** @throws RequestError (305, 309 to 312, and every code of a request without a key) */
+  /**
+   * Sends a request to the home of its key and returns the answer.
+   *
+   * @throws RequestError (305, 309 to 312, and every code of a request without a key)
+   */
   async send({ key, ageMs }: IdempotencyKey, relayed: RelayedRequest): Promise<KeyedAnswer> {
     const { service, request, deadlineAt } = relayed;
     const call: KeyedRequest = {
--- a/packages/daemon/src/internal/node-process.ts
+++ b/packages/daemon/src/internal/node-process.ts
@@ -266,8 +266,8 @@
       hosts: () => hostViews(this.#control.fold.hosts.values()),
       holds: () => this.#scheduling.holds,
       explain: (taskId) => this.#scheduling.explain(taskId),
-      events: (after: string, limit: number, asked: EventFilter) =>
-        this.#events.after(after, limit, asked),
+      events: (after: string, limit: number, filter: EventFilter) =>
+        this.#events.after(after, limit, filter),
     };
   }
 
--- a/packages/daemon/src/internal/peer-router.ts
+++ b/packages/daemon/src/internal/peer-router.ts
@@ -22,7 +22,7 @@
   /** Records a peer's state and returns this node's own. */
   hello(from: Hello): Hello;
   /** Accepts a worker's report that a peer fetched. */
-  workerReport(asked: PolledReport): void;
+  workerReport(polled: PolledReport): void;
   /** Runs a request whose key has its home on this node, or returns an earlier run's outcome. */
   runKeyed(call: KeyedRequest): Promise<KeyedAnswer>;
   /** Stores the key memory of a peer that shuts down. */
@@ -36,7 +36,7 @@
 /** Creates the tRPC router for calls between nodes. */
 export function makePeerRouter(service: PeerService) {
   const t = initTRPC.create({
-    // Name the field, so that the logs of a peer of another release show what it omits.
+    // Name the field, so that the logs of a peer of another release show which one it omits.
     errorFormatter({ shape, error }) {
       if (!(error.cause instanceof z.ZodError)) return shape;
       const faults = faultsOf(error.cause, undefined);
--- a/packages/daemon/src/internal/peer-task.ts
+++ b/packages/daemon/src/internal/peer-task.ts
@@ -47,7 +47,7 @@
   readonly streamState: (stream: string) => object | undefined;
 }
 
-/** One replica survives if a peer that stores the memory is replaced as well. */
+/** Two, so that one replica remains if a peer that stores the memory is replaced as well. */
 const KEY_MEMORY_REPLICAS = 2;
 
 /** Longer than the other node's pause plus a round trip, and well below the silence limit. */
@@ -77,7 +77,7 @@
   /** Worker reports that peers forwarded to this node. */
   readonly workerReports$ = new Subject<PolledReport>();
 
-  /** Fires after each exchange. */
+  /** Emits the state of a peer after each exchange with it. */
   readonly hellos$ = new Subject<Hello>();
 
   constructor(options: PeerTaskOptions) {
@@ -90,7 +90,7 @@
     }));
     const router = makePeerRouter({
       hello: (from) => this.#onHello(from),
-      workerReport: (asked) => this.workerReports$.next(asked),
+      workerReport: (polled) => this.workerReports$.next(polled),
       runKeyed: (call) => options.runKeyed(call),
       keepKeys: (memory) => this.#keyMemories.keep(memory),
       takeKeys: (nodeId) => this.#keyMemories.take(nodeId),
@@ -140,14 +140,14 @@
 
   /** Sends this node's state to every peer at once, without waiting for the next exchange. */
   async announce(): Promise<void> {
-    await Promise.all(this.#peers.map((peer) => this.#sayHello(peer)));
+    await Promise.all(this.#peers.map((peer) => this.#sendHello(peer)));
   }
 
   /** Forwards a worker's report to the node that holds the data centre. */
-  async sendReport(nodeId: string, asked: PolledReport): Promise<void> {
+  async sendReport(nodeId: string, polled: PolledReport): Promise<void> {
     const peer = this.#peers.find((p) => p.setting.nodeId === nodeId);
     // The next report makes up for a lost one.
-    await peer?.client.workerReport.mutate(asked).catch(() => undefined);
+    await peer?.client.workerReport.mutate(polled).catch(() => undefined);
   }
 
   /** Returns whether a node was heard before, but not within the silence limit. */
@@ -196,7 +196,7 @@
     while (!this.#stopped) {
       const sinceHeard = performance.now() - peer.heardAt;
       // An exchange carries both states, so a peer that was just heard need not be called as well.
-      if (sinceHeard >= pauseMs) await this.#sayHello(peer);
+      if (sinceHeard >= pauseMs) await this.#sendHello(peer);
       const remainingMs = sinceHeard < pauseMs ? pauseMs - sinceHeard : pauseMs;
       await sleep(Math.max(1, remainingMs));
     }
@@ -212,7 +212,7 @@
     return self().nodeId < peer.setting.nodeId ? helloMs : helloMs * RESPONDER_PAUSE_FACTOR;
   }
 
-  async #sayHello(peer: Peer): Promise<void> {
+  async #sendHello(peer: Peer): Promise<void> {
     try {
       // A peer of another release may omit a field; without this check, the process would fail
       // where the field is read. Such a peer counts as silent.
--- a/packages/daemon/src/internal/scheduler-task.ts
+++ b/packages/daemon/src/internal/scheduler-task.ts
@@ -24,7 +24,7 @@
 import type { Throttler } from './throttler.js';
 
 export type SchedulerMessage =
-  { readonly type: 'pass' } | { readonly type: 'report'; readonly asked: PolledReport };
+  { readonly type: 'pass' } | { readonly type: 'report'; readonly polled: PolledReport };
 
 export interface SchedulerOptions {
   readonly nodeId: string;
@@ -91,8 +91,8 @@
   protected override async handle(message: SchedulerMessage): Promise<void> {
     const { control } = this.#options;
     if (message.type === 'report') {
-      control.onReport(message.asked, performance.now());
-      this.#observe(message.asked.report);
+      control.onReport(message.polled, performance.now());
+      this.#observe(message.polled.report);
       return;
     }
     if (control.fold.offset < this.#awaitedOffset) return;
--- a/packages/daemon/src/internal/scheduling-role.ts
+++ b/packages/daemon/src/internal/scheduling-role.ts
@@ -27,7 +27,7 @@
 
   readonly #memory = new SchedulingMemory();
 
-  readonly #keeper: LeaseKeeper;
+  readonly #leaseKeeper: LeaseKeeper;
 
   readonly #scheduler: SchedulerTask;
 
@@ -36,7 +36,7 @@
     this.#ctx = ctx;
     this.#state = state;
     this.#controlNode = this.#makeControlNode();
-    this.#keeper = this.#makeKeeper();
+    this.#leaseKeeper = this.#makeLeaseKeeper();
     this.#scheduler = this.#makeScheduler();
     registerSchedulingMetrics(ctx.registry, this.#controlNode);
   }
@@ -57,7 +57,7 @@
 
   /** Hosts whose workers did not answer this node's last call. */
   get unreachable(): readonly string[] {
-    return [...this.#keeper.unreachable];
+    return [...this.#leaseKeeper.unreachable];
   }
 
   /** Explains why a task runs on its host or does not run; undefined if the task is unknown. */
@@ -72,7 +72,7 @@
 
   stop(): void {
     this.#scheduler.stop();
-    this.#keeper.stop();
+    this.#leaseKeeper.stop();
   }
 
   #makeControlNode(): ControlNode {
@@ -97,7 +97,7 @@
     return controlNode;
   }
 
-  #makeKeeper(): LeaseKeeper {
+  #makeLeaseKeeper(): LeaseKeeper {
     const { platformTimeoutMs, leaseMs } = this.#ctx.settings;
     return new LeaseKeeper({
       control: this.#controlNode,
@@ -173,22 +173,22 @@
   start(): void {
     const { nodeId, helloMs } = this.#ctx.settings;
     this.#scheduler.start();
-    this.#keeper.reports$.subscribe((asked) => {
-      this.#scheduler.post({ type: 'report', asked });
+    this.#leaseKeeper.reports$.subscribe((polled) => {
+      this.#scheduler.post({ type: 'report', polled });
       const holder = this.#ctx.control.fold.holder?.split('/')[0];
-      if (holder !== undefined && holder !== nodeId) this.#ctx.peers.sendReport(holder, asked);
+      if (holder !== undefined && holder !== nodeId) this.#ctx.peers.sendReport(holder, polled);
     });
-    this.#ctx.peers.workerReports$.subscribe((asked) => {
-      this.#scheduler.post({ type: 'report', asked });
+    this.#ctx.peers.workerReports$.subscribe((polled) => {
+      this.#scheduler.post({ type: 'report', polled });
     });
-    merge(this.#keeper.reports$, this.#ctx.peers.workerReports$)
+    merge(this.#leaseKeeper.reports$, this.#ctx.peers.workerReports$)
       .pipe(auditTime(PASS_DELAY_MS))
       .subscribe(() => this.#scheduler.post({ type: 'pass' }));
     merge(this.#ctx.control.changed$, this.#ctx.manifest.manifest$, this.#ctx.hostList.hosts$)
       .pipe(auditTime(PASS_DELAY_MS))
       .subscribe(() => {
         this.#scheduler.post({ type: 'pass' });
-        this.#keeper.reconcileChanged();
+        this.#leaseKeeper.reconcileChanged();
       });
     // A holder announces that it shuts down, so that another node takes over at once.
     this.#ctx.peers.hellos$.subscribe((hello) => {
@@ -196,6 +196,6 @@
     });
     // A silent peer triggers no event, so a timer checks whether to claim the term.
     setInterval(() => this.#scheduler.post({ type: 'pass' }), helloMs).unref();
-    this.#keeper.start();
+    this.#leaseKeeper.start();
   }
 }
--- a/packages/daemon/src/internal/settings.ts
+++ b/packages/daemon/src/internal/settings.ts
@@ -16,7 +16,7 @@
 
 export type Role = (typeof ROLES)[number];
 
-/** Another node: `id@dataCentre=ip:port`, where the port is that of its peer listener. */
+/** Another node: `id@dataCentre=ip:port`, with the port of its peer listener. */
 export interface PeerSetting {
   readonly nodeId: string;
   readonly dataCentre: string;
--- a/packages/daemon/src/internal/state-gossip.ts
+++ b/packages/daemon/src/internal/state-gossip.ts
@@ -7,7 +7,7 @@
 export interface StateGossipOptions {
   readonly peers: PeerTask;
   readonly manifest: ManifestTask;
-  /** The control streams that this node follows. */
+  /** Returns the control streams that this node follows. */
   readonly controls: () => Iterable<ControlTask>;
 }
 
--- a/packages/daemon/src/test/entry-sends_test.ts
+++ b/packages/daemon/src/test/entry-sends_test.ts
@@ -9,7 +9,7 @@
 
 const silent: Behaviour = () => {};
 
-const says503 = (header: string): Behaviour => {
+const answers503 = (header: string): Behaviour => {
   return ({ socket }) => socket.write(`HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n${header}\r\n`);
 };
 
@@ -50,13 +50,13 @@
   const entry = await new EntryFixture().start(2);
   const [first, second] = entry.endpoints;
   assert.ok(first && second);
-  first.behaviour = says503('x-not-run: true\r\n');
-  second.behaviour = says503('x-not-run: true\r\n');
+  first.behaviour = answers503('x-not-run: true\r\n');
+  second.behaviour = answers503('x-not-run: true\r\n');
   const refused = await sendRequest(`${entry.url}/a`, POST);
   assert.deepEqual([refused.status, refused.outcome], [503, 'not-run']);
   assert.equal(entry.runsOf('/a'), 2);
-  first.behaviour = says503('');
-  second.behaviour = says503('');
+  first.behaviour = answers503('');
+  second.behaviour = answers503('');
   assert.equal((await sendRequest(`${entry.url}/b`, POST)).outcome, undefined);
   assert.equal(entry.runsOf('/b'), 1);
   await entry.stop();
--- a/packages/daemon/src/test/peer-task_test.ts
+++ b/packages/daemon/src/test/peer-task_test.ts
@@ -55,7 +55,7 @@
 }
 
 /** Starts a peer with one answer to every request; `asked` resolves after the given number. */
-async function startAnswering(body: object, times: number) {
+async function startFixedAnswerPeer(body: object, times: number) {
   let answered = 0;
   let resolveAsked: (() => void) | undefined;
   const asked = new Promise<void>((resolve) => {
@@ -107,7 +107,7 @@
   // An older node calls a newer one, whose answer lacks `roles`. Without validation, the next check
   // for scheduler nodes would throw in a timer and end the process.
   const { roles: _roles, ...less } = hello('n2');
-  const peer = await startAnswering(less, 3);
+  const peer = await startFixedAnswerPeer(less, 3);
   const { task } = await startTask('n1', [KEYS.old], { n2: peer.port });
   await peer.asked;
   assert.deepEqual(task.alive(), []);
