--- a/packages/daemon/src/internal/caller-listener.ts
+++ b/packages/daemon/src/internal/caller-listener.ts
@@ -100,7 +100,7 @@
   ): Promise<void> {
     const connection = this.#connections.get(req.socket);
     if (connection) connection.openRequests += 1;
-    // `close` fires after the last bytes were passed to the connection; `finish` is too early.
+    // Only `close` shows that the last bytes were passed to the connection.
     res.once('close', () => {
       if (!connection) return;
       connection.openRequests -= 1;
