--- a/packages/fuzz/src/coverage.ts
+++ b/packages/fuzz/src/coverage.ts
@@ -1,4 +1,4 @@
-/** Counts how often each failure was in fact set off, and how many steps ran. */
+/** Counts how often each coverage point was hit, and how many steps ran. */
 export class Coverage {
   readonly #counts = new Map<string, number>();
 
@@ -12,12 +12,12 @@
     this.#steps += 1;
   }
 
-  /** Counts a failure where it takes effect, not where it was merely drawn. */
-  hit(failure: string): void {
-    this.#counts.set(failure, (this.#counts.get(failure) ?? 0) + 1);
+  /** Counts a coverage point; called where its failure takes effect, not where it is only drawn. */
+  hit(name: string): void {
+    this.#counts.set(name, (this.#counts.get(name) ?? 0) + 1);
   }
 
-  of(failure: string): number {
-    return this.#counts.get(failure) ?? 0;
+  count(name: string): number {
+    return this.#counts.get(name) ?? 0;
   }
 }
--- a/packages/fuzz/src/fuzz-target.ts
+++ b/packages/fuzz/src/fuzz-target.ts
@@ -1,16 +1,16 @@
 import type { IRawProperty } from 'fast-check';
 import type { Coverage } from './coverage.js';
 
-/** One oracle with the commands that are thrown at it. */
+/** A property to check, with the generator of its random commands. */
 export abstract class FuzzTarget {
   abstract readonly name: string;
 
-  /** Failures that a run must set off: one that never happened proves nothing about it. */
-  abstract readonly failures: readonly string[];
+  /** Failures and cases that a run must hit; a case that never occurred was not tested. */
+  abstract readonly coveragePoints: readonly string[];
 
-  /** How many runs the whole check takes: enough to set off every failure, and quick. */
+  /** The number of runs in the tests: enough to hit every coverage point, and still quick. */
   readonly checkRuns: number = 200;
 
-  /** Builds the property that must hold whatever commands are drawn. */
+  /** Returns the property that must hold for all drawn commands. */
   abstract property(coverage: Coverage): IRawProperty<unknown>;
 }
--- a/packages/fuzz/src/records/sound-records.ts
+++ b/packages/fuzz/src/records/valid-records.ts
@@ -8,7 +8,7 @@
   encodeOffer,
 } from '@redwingcrank/runtime/work-table';
 
-/** What a node reads: records of the store, and answers of workers. */
+/** The kinds of data that a node reads: records of the store and answers of workers. */
 export type RecordKind =
   | 'worker'
   | 'config'
@@ -22,17 +22,17 @@
   | 'report'
   | 'order-answer';
 
-/** A record as whoever it belongs to writes it. */
-export interface SoundRecord {
+/** A valid record, as its owner writes it. */
+export interface ValidRecord {
   readonly key: string;
   readonly value: unknown;
   readonly text: string;
 }
 
-/** So few workers and jobs that their records meet each other. */
-const IDS = 3;
+/** The number of workers and of jobs; few, so that records of the same key follow one another. */
+const ID_COUNT = 3;
 
-/** Who the leader's record names. */
+/** The fields of the leader's record, except its epoch. */
 const LEADER = {
   node: 'n1',
   nonce: 'x',
@@ -47,10 +47,10 @@
 
 const LEARNED = { web: { batch: 0.4 }, feed: { batch: 1.2 } };
 
-/** A record of a kind as it should be. */
-export function soundRecord(kind: RecordKind, which: number): SoundRecord {
-  const id = `${which % IDS}`;
-  const of = (key: string, text: string): SoundRecord => ({ key, value: JSON.parse(text), text });
+/** Returns a valid record of the given kind. */
+export function validRecord(kind: RecordKind, keyIndex: number): ValidRecord {
+  const id = `${keyIndex % ID_COUNT}`;
+  const of = (key: string, text: string): ValidRecord => ({ key, value: JSON.parse(text), text });
   switch (kind) {
     case 'worker':
       return of(`w${id}`, JSON.stringify(VALID_ENTRY));
@@ -65,9 +65,12 @@
     case 'cancel':
       return of(`c/${id}`, '1');
     case 'leader':
-      return of('leader', encodeLeader({ ...LEADER, epoch: 1 + (which % IDS) }));
+      return of('leader', encodeLeader({ ...LEADER, epoch: 1 + (keyIndex % ID_COUNT) }));
     case 'offer':
-      return of('offer', encodeOffer({ node: 'n2', cores: 1.35, epoch: 1 + (which % IDS) }));
+      return of(
+        'offer',
+        encodeOffer({ node: 'n2', cores: 1.35, epoch: 1 + (keyIndex % ID_COUNT) }),
+      );
     default:
       return of('learned', encodeLearned(LEARNED));
   }
--- a/packages/fuzz/src/targets/foreign-records.ts
+++ b/packages/fuzz/src/targets/foreign-records.ts
@@ -48,7 +48,7 @@
 export class ForeignRecords extends FuzzTarget {
   readonly name = 'foreign-records';
 
-  readonly failures = ['foreign', 'damaged', 'next-version'];
+  readonly coveragePoints = ['foreign', 'damaged', 'next-version'];
 
   property(coverage: Coverage): fc.IRawProperty<unknown> {
     const strangers = fc.array(stranger, { maxLength: MAX_RECORDS });
--- a/packages/fuzz/src/targets/jobs.ts
+++ b/packages/fuzz/src/targets/jobs.ts
@@ -57,7 +57,7 @@
 export class Jobs extends FuzzTarget {
   readonly name = 'jobs';
 
-  readonly failures = [
+  readonly coveragePoints = [
     'cancel',
     'cut',
     'store-away',
--- a/packages/fuzz/src/targets/manifest-gossip.ts
+++ b/packages/fuzz/src/targets/manifest-gossip.ts
@@ -50,7 +50,7 @@
 export class ManifestGossip extends FuzzTarget {
   readonly name = 'manifest-gossip';
 
-  readonly failures = [
+  readonly coveragePoints = [
     'racer',
     'invalid',
     'replay',
--- a/packages/fuzz/src/targets/manifest-mutation.ts
+++ b/packages/fuzz/src/targets/manifest-mutation.ts
@@ -41,7 +41,7 @@
 export class ManifestMutation extends FuzzTarget {
   readonly name = 'manifest-mutation';
 
-  readonly failures = ['refused', 'harmless', 'refused-after-good'];
+  readonly coveragePoints = ['refused', 'harmless', 'refused-after-good'];
 
   property(coverage: Coverage): fc.IRawProperty<unknown> {
     const mutations = fc.array(mutation, { minLength: 1, maxLength: MAX_MUTATIONS });
--- a/packages/fuzz/src/targets/manifest-race.ts
+++ b/packages/fuzz/src/targets/manifest-race.ts
@@ -17,7 +17,7 @@
 export class ManifestRace extends FuzzTarget {
   readonly name = 'manifest-race';
 
-  readonly failures = ['racer', 'invalid', 'foreign', 'replay', 'move'];
+  readonly coveragePoints = ['racer', 'invalid', 'foreign', 'replay', 'move'];
 
   property(coverage: Coverage): fc.IRawProperty<unknown> {
     const script = fc.array(publication, { maxLength: MAX_PUBLICATIONS, size: 'max' });
--- a/packages/fuzz/src/targets/one-place.ts
+++ b/packages/fuzz/src/targets/one-place.ts
@@ -81,7 +81,7 @@
 
   override readonly checkRuns = 80;
 
-  readonly failures = [
+  readonly coveragePoints = [
     'node-paused',
     'pause-before-send',
     'node-crashed',
--- a/packages/fuzz/src/targets/plan.ts
+++ b/packages/fuzz/src/targets/plan.ts
@@ -39,7 +39,7 @@
 export class Plan extends FuzzTarget {
   readonly name = 'plan';
 
-  readonly failures = [
+  readonly coveragePoints = [
     'fail-some',
     'host-leaves',
     'host-vanishes',
--- a/packages/fuzz/src/targets/requests.ts
+++ b/packages/fuzz/src/targets/requests.ts
@@ -49,7 +49,7 @@
 export class Requests extends FuzzTarget {
   readonly name = 'requests';
 
-  readonly failures = [
+  readonly coveragePoints = [
     'repeat-while-running',
     'repeat-when-done',
     'repeat-after-crash',
--- a/packages/fuzz/src/targets/snapshot-equivalence.ts
+++ b/packages/fuzz/src/targets/snapshot-equivalence.ts
@@ -47,7 +47,15 @@
 export class SnapshotEquivalence extends FuzzTarget {
   readonly name = 'snapshot-equivalence';
 
-  readonly failures = ['lost', 'recovered', 'cutShort', 'stale', 'repeat', 'foreign', 'garbage'];
+  readonly coveragePoints = [
+    'lost',
+    'recovered',
+    'cutShort',
+    'stale',
+    'repeat',
+    'foreign',
+    'garbage',
+  ];
 
   property(coverage: Coverage): fc.IRawProperty<unknown> {
     const script = fc.array(command, { maxLength: MAX_COMMANDS, size: 'max' });
--- a/packages/fuzz/src/targets/store-records.ts
+++ b/packages/fuzz/src/targets/store-records.ts
@@ -1,14 +1,14 @@
 import fc from 'fast-check';
 import type { Coverage } from '../coverage.js';
 import { FuzzTarget } from '../fuzz-target.js';
-import type { Meeting } from '../records/records-world.js';
+import type { RecordInput } from '../records/records-world.js';
 import { RecordsWorld } from '../records/records-world.js';
 import { mutation } from './mutated-json.js';
 
 const MAX_MUTATIONS = 2;
 
-/** Values that stand in sound records, at places where they are wrong. */
-const nearlySound = fc.constantFrom<unknown>(
+/** Values that occur in valid records, used at positions where they are wrong. */
+const misplacedValue = fc.constantFrom<unknown>(
   1,
   2,
   57,
@@ -23,21 +23,21 @@
   [[0]],
 );
 
-const nearlySoundMutation = fc.record({
+const misplacedMutation = fc.record({
   kind: fc.constant('replace' as const),
   path: fc.array(fc.nat(), { minLength: 1, maxLength: 5 }),
-  value: nearlySound,
+  value: misplacedValue,
 });
 
-const meeting: fc.Arbitrary<Meeting> = fc.record({
+const input: fc.Arbitrary<RecordInput> = fc.record({
   kind: fc.constantFrom(
     ...Array<'worker'>(4).fill('worker'),
     ...Array<'report'>(2).fill('report'),
     ...Array<'progress'>(2).fill('progress'),
     ...(['config', 'wave', 'job', 'cancel', 'leader', 'learned', 'offer', 'order-answer'] as const),
   ),
-  which: fc.nat({ max: 8 }),
-  mutations: fc.array(fc.oneof(mutation, nearlySoundMutation), { maxLength: MAX_MUTATIONS }),
+  keyIndex: fc.nat({ max: 8 }),
+  mutations: fc.array(fc.oneof(mutation, misplacedMutation), { maxLength: MAX_MUTATIONS }),
   damage: fc.constantFrom(
     ...Array<'none'>(12).fill('none'),
     ...(['deleted', 'empty', 'no-text', 'cut-value', 'key-too-long', 'key-no-text'] as const),
@@ -45,18 +45,18 @@
   at: fc.nat({ max: 400 }),
 });
 
-const page = fc.array(meeting, { minLength: 1, maxLength: 12, size: 'max' });
+const page = fc.array(input, { minLength: 1, maxLength: 12, size: 'max' });
 
 /**
- * Records of every kind that a node reads, and answers of workers, with fields changed and bytes
- * spoilt. Whatever there is: no record hides another, only workers are used whose newest entry is
- * sound, no broken configuration comes into force, no report is believed in part, and all that the
- * table of work takes can be scheduled.
+ * Reads records of every kind and answers of workers, with changed fields and damaged bytes. In
+ * every case, no record hides another, a worker is used only if its newest entry is valid, no
+ * invalid configuration is applied, no report is accepted in part, and all jobs that the work table
+ * accepts can be scheduled.
  */
 export class StoreRecords extends FuzzTarget {
   readonly name = 'store-records';
 
-  readonly failures = [
+  readonly coveragePoints = [
     'deleted',
     'empty',
     'no-text',
@@ -78,10 +78,10 @@
     return fc.property(pages, fc.nat({ max: 4_000 }), (drawn, cutAt) => {
       const world = new RecordsWorld(coverage);
       let from = 0;
-      for (const meetings of drawn) {
-        world.page(meetings, from);
-        world.cutPage(meetings, from, cutAt);
-        from += meetings.length;
+      for (const inputs of drawn) {
+        world.readPage(inputs, from);
+        world.readCutPage(inputs, from, cutAt);
+        from += inputs.length;
       }
     });
   }
