--- a/packages/fuzz/src/jobs/model-leader.ts
+++ b/packages/fuzz/src/jobs/model-leader.ts
@@ -217,7 +217,7 @@
   }
 
   /** Returns whether the worker's newest renewal got no answer. */
-  isLost(id: string): boolean {
+  isRenewalLost(id: string): boolean {
     return this.#lostRenewals.has(id);
   }
 
--- a/packages/fuzz/src/jobs/recovery-phase.ts
+++ b/packages/fuzz/src/jobs/recovery-phase.ts
@@ -138,7 +138,7 @@
       this.#world.renew(leader, worker, isAnswerDelivered ? 'answered' : 'unanswered');
     } else {
       // A renewal that waited for its ends to be stored, or one after a lost one, never arrives.
-      if (this.#awaitingAck.has(id) || leader.isLost(id)) leader.renew(id, nowMs);
+      if (this.#awaitingAck.has(id) || leader.isRenewalLost(id)) leader.renew(id, nowMs);
       leader.renewalLost(id);
     }
     const hasUnacknowledgedEnds = worker?.hasUnacknowledgedEnds ?? false;
--- a/packages/fuzz/src/one-place/model-log.ts
+++ b/packages/fuzz/src/one-place/model-log.ts
@@ -7,7 +7,7 @@
 
 const LATE_APPEND_MS = 3000;
 
-/** The platform's log: it can be down, lose answers after the effect, and take appends late. */
+/** Models the platform's log, which may be down, lose answers to appends, and apply appends late. */
 export class ModelLog {
   readonly #time: VirtualTime;
 
@@ -53,7 +53,7 @@
     this.#appendsToDelay = 0;
   }
 
-  /** Reads from an offset; the answer says whether the read reached the end. */
+  /** Reads from an offset; `atEnd` tells `deliver` that there are no more records. */
   read(reader: string, from: number, deliver: (entries: LogEntry[], atEnd: boolean) => void): void {
     this.#network.send(reader, 'log', () => {
       if (this.#isDown()) return;
@@ -68,13 +68,13 @@
     if (delayed) {
       this.#appendsToDelay -= 1;
       this.#coverage.hit('append-late');
-      this.#time.after(LATE_APPEND_MS, () => this.#take(writer, record, answered));
+      this.#time.after(LATE_APPEND_MS, () => this.#store(writer, record, answered));
     } else {
-      this.#network.send(writer, 'log', () => this.#take(writer, record, answered));
+      this.#network.send(writer, 'log', () => this.#store(writer, record, answered));
     }
   }
 
-  #take(writer: string, record: unknown, answered: (offset: number) => void): void {
+  #store(writer: string, record: unknown, answered: (offset: number) => void): void {
     if (this.#isDown()) return;
     const offset = this.#records.push(record) - 1;
     this.#appended(offset, record);
--- a/packages/fuzz/src/one-place/model-node.ts
+++ b/packages/fuzz/src/one-place/model-node.ts
@@ -18,15 +18,15 @@
 export const TIMING = { leaseMs: 1000, staleMs: 2000 };
 
 const POLL_MS = 120;
-const POLL_LIMIT_MS = 600;
+const POLL_TIMEOUT_MS = 600;
 const HELLO_MS = 200;
-const TEND_MS = 250;
+const WORKER_POLL_MS = 250;
 const DECIDE_MS = 200;
-const APPEND_LIMIT_MS = 800;
+const APPEND_TIMEOUT_MS = 800;
 const PEER_SILENCE_MS = 900;
 
-/** A message is written at most so long after its check, unless a pause comes between. */
-const CHECK_TO_SEND_MS = 40;
+/** The maximum delay between the check of a message and its sending, unless the node is paused. */
+const MAX_SEND_DELAY_MS = 40;
 
 export interface NodeWorld {
   readonly time: VirtualTime;
@@ -39,7 +39,7 @@
   readonly listed: () => readonly ListedHost[];
 }
 
-/** A node process: it can be paused at any point, and lose its memory in a crash. */
+/** Models a node process, which can be paused at any point and loses its memory in a crash. */
 export class ModelNode {
   readonly nodeId: string;
 
@@ -47,9 +47,9 @@
 
   readonly #rate: number;
 
-  readonly #backlog: (() => void)[] = [];
+  readonly #deferred: (() => void)[] = [];
 
-  readonly #heardAt = new Map<string, number>();
+  readonly #lastHelloAt = new Map<string, number>();
 
   #generation = 0;
 
@@ -72,7 +72,7 @@
     this.#control = this.#boot();
   }
 
-  /** Freezes the process: what reaches it meanwhile is handled when it wakes. */
+  /** Freezes the process for `ms`; messages that arrive meanwhile are handled afterwards. */
   pause(ms: number): void {
     const { time, coverage } = this.#world;
     coverage.hit('node-paused');
@@ -80,21 +80,21 @@
     time.after(ms, () => this.#wake());
   }
 
-  /** Ends the process and starts it again without its memory. */
+  /** Ends the process and restarts it without its memory. */
   crash(): void {
     this.#world.coverage.hit('node-crashed');
     this.#generation += 1;
-    this.#backlog.length = 0;
+    this.#deferred.length = 0;
     this.#pausedUntil = 0;
     this.#pollSentAt = undefined;
     this.#appendSentAt = undefined;
     this.#awaitedOffset = -1;
-    this.#heardAt.clear();
+    this.#lastHelloAt.clear();
     this.#control = this.#boot();
   }
 
-  /** Claims the data centre, whoever holds it. */
-  usurp(): void {
+  /** Claims the next term of the data centre, whether or not it has a holder. */
+  claimTerm(): void {
     this.#run(() => {
       const { fold } = this.#control;
       this.#append({
@@ -108,8 +108,8 @@
 
   #boot(): ControlNode {
     this.#every(POLL_MS, () => this.#poll());
-    this.#every(HELLO_MS, () => this.#greet());
-    this.#every(TEND_MS, () => this.#tendAll());
+    this.#every(HELLO_MS, () => this.#sendHellos());
+    this.#every(WORKER_POLL_MS, () => this.#pollWorkers());
     this.#every(DECIDE_MS, () => this.#decide());
     return new ControlNode({
       fold: new ControlFold(),
@@ -132,23 +132,23 @@
 
   #every(ms: number, run: () => void): void {
     const generation = this.#generation;
-    const round = (): void => {
+    const tick = (): void => {
       if (generation !== this.#generation) return;
       if (this.#world.time.now >= this.#pausedUntil) run();
-      this.#world.time.after(ms, round);
+      this.#world.time.after(ms, tick);
     };
-    this.#world.time.after(this.#world.network.random.int(1, ms), round);
+    this.#world.time.after(this.#world.network.random.int(1, ms), tick);
   }
 
-  /** Runs something in this process: later where it is paused, never where it has crashed. */
-  #run(step: () => void, waiting?: string): void {
+  /** Runs a step in this process: after a pause if paused, and never if the process crashes first. */
+  #run(step: () => void, coveragePoint?: string): void {
     if (this.#world.time.now < this.#pausedUntil) {
-      if (waiting !== undefined) this.#world.coverage.hit(waiting);
-      this.#backlog.push(step);
+      if (coveragePoint !== undefined) this.#world.coverage.hit(coveragePoint);
+      this.#deferred.push(step);
     } else step();
   }
 
-  /** Wraps an answer's handler, so that it dies with the process that waits for it. */
+  /** Wraps the handler of an answer so that it does not run after the waiting process has ended. */
   #answer<T extends unknown[]>(handle: (...args: T) => void): (...args: T) => void {
     const generation = this.#generation;
     return (...args) => {
@@ -158,12 +158,12 @@
 
   #wake(): void {
     if (this.#world.time.now < this.#pausedUntil) return;
-    this.#backlog.splice(0).forEach((step) => step());
+    this.#deferred.splice(0).forEach((step) => step());
   }
 
   #poll(): void {
     const now = this.#clock();
-    if (this.#pollSentAt !== undefined && now - this.#pollSentAt < POLL_LIMIT_MS) return;
+    if (this.#pollSentAt !== undefined && now - this.#pollSentAt < POLL_TIMEOUT_MS) return;
     this.#pollSentAt = now;
     const from = this.#control.fold.offset + 1;
     const handle = (entries: LogEntry[], atEnd: boolean): void => {
@@ -177,39 +177,39 @@
     this.#world.log.read(this.nodeId, from, this.#answer(handle));
   }
 
-  #greet(): void {
+  #sendHellos(): void {
     const { nodes, network } = this.#world;
     for (const peer of nodes) {
       if (peer !== this) {
         const incarnation = String(this.#generation);
         const controlOffset = this.#control.fold.offset;
         const hello = { nodeId: this.nodeId, incarnation, controlOffset };
-        network.send(this.nodeId, peer.nodeId, () => peer.#run(() => peer.#hear(hello)));
+        network.send(this.nodeId, peer.nodeId, () => peer.#run(() => peer.#receiveHello(hello)));
       }
     }
   }
 
-  #hear(hello: Omit<ReceivedHello, 'at'>): void {
+  #receiveHello(hello: Omit<ReceivedHello, 'at'>): void {
     const at = this.#clock();
-    this.#heardAt.set(hello.nodeId, at);
+    this.#lastHelloAt.set(hello.nodeId, at);
     this.#control.onHello({ ...hello, at });
   }
 
-  #tendAll(): void {
+  #pollWorkers(): void {
     const { workers, network } = this.#world;
     for (const worker of workers) {
-      // Every node tends every host now and then, though one would do: the worst for races.
+      // All nodes poll all hosts at random, although one node per host would suffice, to provoke races.
       if (network.random.int(0, 1) === 1) {
-        const act = (report: WorkerReport, askedOffset: number): void => {
+        const handleReport = (report: WorkerReport, askedOffset: number): void => {
           this.#reported({ askedOffset, report });
-          const acts = [...this.#control.commandsFor(report, this.#clock())];
+          const commands = [...this.#control.commandsFor(report, this.#clock())];
           const generation = this.#generation;
-          this.#world.time.after(network.random.int(0, CHECK_TO_SEND_MS), () => {
-            if (generation !== this.#generation || acts.length === 0) return;
-            this.#run(() => this.#send(worker, report, acts), 'pause-before-send');
+          this.#world.time.after(network.random.int(0, MAX_SEND_DELAY_MS), () => {
+            if (generation !== this.#generation || commands.length === 0) return;
+            this.#run(() => this.#send(worker, report, commands), 'pause-before-send');
           });
         };
-        this.#ask(worker, () => worker.report(), act);
+        this.#ask(worker, () => worker.report(), handleReport);
       }
     }
   }
@@ -228,23 +228,23 @@
     });
   }
 
-  #send(worker: ModelWorker, report: WorkerReport, acts: readonly WorkerCommand[]): void {
+  #send(worker: ModelWorker, report: WorkerReport, commands: readonly WorkerCommand[]): void {
     const { incarnation, heartbeat } = report;
-    const stamp = { incarnation, heartbeat, leaseMs: TIMING.leaseMs };
-    for (const { type, task } of acts) {
+    const lease = { incarnation, heartbeat, leaseMs: TIMING.leaseMs };
+    for (const { type, task } of commands) {
       const { taskId, attempt } = task;
       const ref = { taskId, attempt };
       const full = this.#control.fold.tasks.get(taskId);
-      const note = (next: WorkerReport, askedOffset: number): void =>
+      const handleReply = (next: WorkerReport, askedOffset: number): void =>
         this.#reported({ askedOffset, report: next });
-      if (type === 'stop') this.#ask(worker, () => worker.stop(ref), note);
-      else if (type === 'checkpoint') this.#ask(worker, () => worker.checkpoint(ref), note);
+      if (type === 'stop') this.#ask(worker, () => worker.stop(ref), handleReply);
+      else if (type === 'checkpoint') this.#ask(worker, () => worker.checkpoint(ref), handleReply);
       else if (type === 'renew') {
-        this.#ask(worker, () => worker.renew({ ...stamp, attempts: [ref] }), note);
+        this.#ask(worker, () => worker.renew({ ...lease, attempts: [ref] }), handleReply);
       } else if (full?.attempt === attempt) {
         const { kind, owner, resources, checkpoint } = full;
-        const message = { ...ref, ...stamp, kind, owner, resources, checkpoint };
-        this.#ask(worker, () => worker.start(message), note);
+        const message = { ...ref, ...lease, kind, owner, resources, checkpoint };
+        this.#ask(worker, () => worker.start(message), handleReply);
       }
     }
   }
@@ -262,7 +262,7 @@
 
   #decide(): void {
     const now = this.#clock();
-    if (this.#appendSentAt !== undefined && now - this.#appendSentAt < APPEND_LIMIT_MS) return;
+    if (this.#appendSentAt !== undefined && now - this.#appendSentAt < APPEND_TIMEOUT_MS) return;
     this.#appendSentAt = undefined;
     const { fold } = this.#control;
     if (fold.offset < this.#awaitedOffset) return;
@@ -270,13 +270,13 @@
       const incarnation = String(this.#generation);
       this.#append({ type: 'join', id: this.#id(), nodeId: this.nodeId, incarnation });
     } else if (this.#control.holds) this.#pass(now);
-    else if (!this.#holderAlive(now)) this.usurp();
+    else if (!this.#holderAlive(now)) this.claimTerm();
   }
 
   #holderAlive(now: number): boolean {
     const holder = this.#control.fold.holder?.split('/')[0];
     if (holder === undefined || holder === this.nodeId) return false;
-    return now - (this.#heardAt.get(holder) ?? now) < PEER_SILENCE_MS;
+    return now - (this.#lastHelloAt.get(holder) ?? now) < PEER_SILENCE_MS;
   }
 
   #pass(now: number): void {
@@ -294,7 +294,7 @@
 
   #append(record: ControlRecord): void {
     this.#appendSentAt = this.#clock();
-    // Records go the way of JSON, which drops what is undefined.
+    // Records are sent as JSON, which drops undefined fields.
     const value: unknown = JSON.parse(JSON.stringify(record));
     const answered = this.#answer((offset: number) => {
       this.#appendSentAt = undefined;
--- a/packages/fuzz/src/one-place/model-worker.ts
+++ b/packages/fuzz/src/one-place/model-worker.ts
@@ -8,11 +8,11 @@
 } from '@redwingcrank/protocol';
 import type { VirtualTime } from './virtual-time.js';
 
-/** One attempt as the worker executes it. */
+/** One attempt that the worker executes or has executed. */
 export interface Execution {
   readonly message: StartMessage;
   readonly startedAt: number;
-  /** On the worker's own clock. */
+  /** The lease's end on the worker's clock. */
   leaseEnd: number;
   state: WorkerTaskState;
   checkpoint: string | undefined;
@@ -21,12 +21,12 @@
 const keyOf = ({ taskId, attempt }: StopMessage): string => `${taskId}#${attempt}`;
 
 export interface WorkerEvents {
-  /** Called when an execution is about to begin. */
-  starts(worker: ModelWorker, message: StartMessage): void;
-  lapsed(): void;
+  /** Called before an execution starts. */
+  onStart(worker: ModelWorker, message: StartMessage): void;
+  onLeaseExpired(): void;
 }
 
-/** A worker with its own clock, which knows leases and stop, and forgets when it restarts. */
+/** Models a worker with its own clock, leases and stop orders; a restart clears its memory. */
 export class ModelWorker {
   readonly hostId: string;
 
@@ -34,7 +34,7 @@
 
   readonly #events: WorkerEvents;
 
-  /** How many of its milliseconds pass in a true one. */
+  /** The rate of the worker's clock relative to true time. */
   readonly #rate: number;
 
   readonly #jobMs: number;
@@ -45,7 +45,7 @@
 
   #tombstones = new Map<string, TaskReport>();
 
-  /** Executions of earlier incarnations that are not listed. */
+  /** Running executions of earlier incarnations that the worker does not list in its reports. */
   #orphans: Execution[] = [];
 
   constructor(options: {
@@ -62,7 +62,7 @@
     this.#jobMs = options.jobMs;
   }
 
-  /** What is executed at this very moment. */
+  /** Returns the executions running now. */
   executing(): Execution[] {
     this.#expire();
     return [...this.#attempts.values(), ...this.#orphans].filter((e) => e.state === 'running');
@@ -91,7 +91,7 @@
       leaseEnd <= this.#clock();
     if (known) this.#extend(known, message);
     else if (!refused) {
-      this.#events.starts(this, message);
+      this.#events.onStart(this, message);
       const { checkpoint } = message;
       const startedAt = this.#time.now;
       this.#attempts.set(key, { message, startedAt, leaseEnd, state: 'running', checkpoint });
@@ -124,7 +124,10 @@
     return this.report();
   }
 
-  /** Restarts: its tasks die with it, live on and are listed, or live on unlisted. */
+  /**
+   * Restarts the worker; its tasks end, continue and are listed, or continue unlisted. Returns
+   * whether tasks were running.
+   */
   restart(tasks: 'die' | 'adopted' | 'orphaned'): boolean {
     const running = this.executing().filter((e) => !this.#orphans.includes(e));
     this.#generation += 1;
@@ -164,12 +167,12 @@
   #expireOne(execution: Execution): void {
     const { message, startedAt, leaseEnd } = execution;
     const doneAt = message.kind === 'job' ? startedAt + this.#jobMs : Infinity;
-    const lapseAt = leaseEnd / this.#rate;
+    const expiresAt = leaseEnd / this.#rate;
     const { now } = this.#time;
-    if (doneAt <= now && doneAt <= lapseAt) Object.assign(execution, { state: 'completed' });
-    else if (lapseAt <= now) {
+    if (doneAt <= now && doneAt <= expiresAt) Object.assign(execution, { state: 'completed' });
+    else if (expiresAt <= now) {
       Object.assign(execution, { state: 'lapsed' });
-      this.#events.lapsed();
+      this.#events.onLeaseExpired();
     }
   }
 }
--- a/packages/fuzz/src/one-place/network.ts
+++ b/packages/fuzz/src/one-place/network.ts
@@ -3,14 +3,14 @@
 import type { Coverage } from '../coverage.js';
 import type { VirtualTime } from './virtual-time.js';
 
-const USUAL_DELAY_MS = 20;
+const NORMAL_DELAY_MS = 20;
 
 const LATE_DELAY_MS = 4000;
 
-/** One message in so many is late, or comes twice, while the fault lasts. */
-const FAULT_EVERY = 4;
+/** While a fault lasts, one of this many messages is late or delivered twice. */
+const FAULT_INTERVAL = 4;
 
-/** Delivers messages late, twice, out of order or not at all. */
+/** Models a network that delivers messages late, twice, out of order or not at all. */
 export class Network {
   readonly random: RandomSource;
 
@@ -20,9 +20,9 @@
 
   readonly #cuts = new Map<string, number>();
 
-  #lateUntil = 0;
+  #delayUntil = 0;
 
-  #twiceUntil = 0;
+  #duplicateUntil = 0;
 
   constructor(time: VirtualTime, coverage: Coverage, seed: number) {
     this.#time = time;
@@ -30,23 +30,23 @@
     this.random = seededRandom(seed);
   }
 
-  /** Cuts two parties off from each other for so many milliseconds. */
+  /** Cuts the connection between two parties for `ms`. */
   cut(a: string, b: string, ms: number): void {
     this.#cuts.set([a, b].sort().join(' '), this.#time.now + ms);
   }
 
-  makeLate(ms: number): void {
-    this.#lateUntil = this.#time.now + ms;
+  delayMessages(ms: number): void {
+    this.#delayUntil = this.#time.now + ms;
   }
 
-  makeTwice(ms: number): void {
-    this.#twiceUntil = this.#time.now + ms;
+  duplicateMessages(ms: number): void {
+    this.#duplicateUntil = this.#time.now + ms;
   }
 
   heal(): void {
     this.#cuts.clear();
-    this.#lateUntil = 0;
-    this.#twiceUntil = 0;
+    this.#delayUntil = 0;
+    this.#duplicateUntil = 0;
   }
 
   send(from: string, to: string, deliver: () => void): void {
@@ -56,17 +56,17 @@
       return;
     }
     this.#time.after(this.#delay(now), deliver);
-    if (now < this.#twiceUntil && this.random.int(1, FAULT_EVERY) === 1) {
+    if (now < this.#duplicateUntil && this.random.int(1, FAULT_INTERVAL) === 1) {
       this.#coverage.hit('message-twice');
       this.#time.after(this.#delay(now), deliver);
     }
   }
 
   #delay(now: number): number {
-    if (now < this.#lateUntil && this.random.int(1, FAULT_EVERY) === 1) {
+    if (now < this.#delayUntil && this.random.int(1, FAULT_INTERVAL) === 1) {
       this.#coverage.hit('message-late');
       return this.random.int(1, LATE_DELAY_MS);
     }
-    return this.random.int(1, USUAL_DELAY_MS);
+    return this.random.int(1, NORMAL_DELAY_MS);
   }
 }
--- a/packages/fuzz/src/one-place/oracle.ts
+++ b/packages/fuzz/src/one-place/oracle.ts
@@ -6,18 +6,19 @@
 import type { ModelWorker } from './model-worker.js';
 
 /**
- * Watches what is in fact executed: at no instant one task twice, nothing that the log says has
- * ended, each attempt resuming from where the one before it ended, and on no host more than is committed there.
+ * Checks the actual executions: no task runs twice at the same time, no attempt runs after its end
+ * is on the log, each attempt resumes from the checkpoint with which the previous one ended, and no
+ * host runs more than is committed there.
  */
 export class Oracle {
-  /** Has folded every record the moment it was written. */
+  /** The fold of every record written so far. */
   readonly fold = new ControlFold();
 
   readonly #workers: readonly ModelWorker[];
 
   readonly #coverage: Coverage;
 
-  /** The checkpoint with which each attempt ended. */
+  /** The checkpoint with which each attempt ended, by attempt. */
   readonly #endedWith = new Map<string, string | undefined>();
 
   constructor(workers: readonly ModelWorker[], coverage: Coverage) {
@@ -25,8 +26,8 @@
     this.#coverage = coverage;
   }
 
-  /** Checks an execution that is about to begin. */
-  starts(worker: ModelWorker, message: StartMessage): void {
+  /** Checks an execution before it starts. */
+  checkStart(worker: ModelWorker, message: StartMessage): void {
     const { taskId, attempt } = message;
     const name = `${taskId}#${attempt}`;
     for (const other of this.#workers) {
@@ -36,17 +37,20 @@
     }
     const task = this.fold.tasks.get(taskId);
     if (task?.attempt !== attempt || task.state === 'ended') {
-      throw new Error(`${name} starts on ${worker.hostId} after the log says that it has ended`);
+      throw new Error(
+        `${name} starts on ${worker.hostId} although it is not the current attempt on the log or has ended there`,
+      );
     }
     this.#checkResumption(message);
     const running = worker.executing().map((e) => e.message.resources);
     const sum = [...running, message.resources].reduce(addResources, NO_RESOURCES);
     const { committed } = this.fold.hosts.get(worker.hostId) as HostState;
-    if (!fits(sum, committed)) throw new Error(`${worker.hostId} runs more than is committed`);
+    if (!fits(sum, committed))
+      throw new Error(`${worker.hostId} would run more than is committed there`);
   }
 
-  /** Folds a record, and checks what it says. */
-  appended(offset: number, value: unknown): void {
+  /** Folds a record and checks its effects. */
+  checkAppend(offset: number, value: unknown): void {
     const before = new Map([...this.fold.hosts].map(([id, host]) => [id, host.committed]));
     const result = this.fold.apply(offset, value);
     this.#count(value as ControlRecord, result);
@@ -63,9 +67,11 @@
   #checkResumption({ taskId, attempt, checkpoint }: StartMessage): void {
     const before = `${taskId}#${attempt - 1}`;
     if (attempt > 1 && !this.#endedWith.has(before)) throw new Error(`${before} has not ended`);
-    const left = this.#endedWith.get(before);
-    if (left !== checkpoint) {
-      throw new Error(`${before} ended at ${left}, and the next resumes from ${checkpoint}`);
+    const lastCheckpoint = this.#endedWith.get(before);
+    if (lastCheckpoint !== checkpoint) {
+      throw new Error(
+        `${before} ended with checkpoint ${lastCheckpoint}, but the next attempt resumes from ${checkpoint}`,
+      );
     }
     if (checkpoint !== undefined) this.#coverage.hit('resumed');
   }
@@ -73,9 +79,10 @@
   #checkCommitted(host: HostState, before: HostState['committed']): void {
     const tasks = [...host.tasks].map((taskId) => this.fold.tasks.get(taskId)?.resources);
     const sum = tasks.reduce((a, b) => addResources(a as never, b as never), NO_RESOURCES);
-    if (!fits(sum as never, host.committed)) throw new Error(`${host.hostId} miscounts`);
+    if (!fits(sum as never, host.committed))
+      throw new Error(`the tasks of ${host.hostId} need more than is committed there`);
     if (fits(host.committed, host.capacity)) return;
-    // Only a host that shrank may be above its capacity, and it must take nothing more.
+    // Only a host whose capacity shrank may exceed it, and it must not accept more tasks.
     if (!fits(host.committed, before)) throw new Error(`${host.hostId} is over-committed`);
     this.#coverage.hit('host-shrunk-below-committed');
   }
@@ -89,7 +96,9 @@
     for (const worker of this.#workers) {
       const running = worker.executing().map((e) => e.message);
       if (running.some((m) => m.taskId === taskId && m.attempt === attempt)) {
-        throw new Error(`the log says by ${proof} that ${taskId}#${attempt} has ended; it runs`);
+        throw new Error(
+          `the log records by ${proof} proof that ${taskId}#${attempt} has ended, but the attempt is running`,
+        );
       }
     }
   }
--- a/packages/fuzz/src/one-place/virtual-time.ts
+++ b/packages/fuzz/src/one-place/virtual-time.ts
@@ -4,9 +4,10 @@
   readonly run: () => void;
 }
 
-const before = (a: Event, b: Event): boolean => a.at < b.at || (a.at === b.at && a.order < b.order);
+const precedes = (a: Event, b: Event): boolean =>
+  a.at < b.at || (a.at === b.at && a.order < b.order);
 
-/** Runs events in the order of their times; time passes only between them. */
+/** Runs events in the order of their times; time advances only between events. */
 export class VirtualTime {
   readonly #heap: Event[] = [];
 
@@ -14,7 +15,7 @@
 
   #now = 0;
 
-  /** Milliseconds since the beginning. */
+  /** Milliseconds since the start of the run. */
   get now(): number {
     return this.#now;
   }
@@ -24,8 +25,8 @@
     this.#push({ at: this.#now + ms, order: this.#order, run });
   }
 
-  /** Runs everything that is due within so many milliseconds. */
-  pass(ms: number): void {
+  /** Advances the time by `ms` and runs all events that are due within it. */
+  advance(ms: number): void {
     const end = this.#now + ms;
     while (this.#heap[0] && this.#heap[0].at <= end) {
       const event = this.#pop();
@@ -40,7 +41,7 @@
     let i = heap.push(event) - 1;
     while (i > 0) {
       const parent = Math.floor((i - 1) / 2);
-      if (!before(event, heap[parent] as Event)) break;
+      if (!precedes(event, heap[parent] as Event)) break;
       heap[i] = heap[parent] as Event;
       i = parent;
     }
@@ -57,8 +58,8 @@
       let child = 2 * i + 1;
       if (child >= heap.length) break;
       const right = heap[child + 1];
-      if (right && before(right, heap[child] as Event)) child += 1;
-      if (!before(heap[child] as Event, last)) break;
+      if (right && precedes(right, heap[child] as Event)) child += 1;
+      if (!precedes(heap[child] as Event, last)) break;
       heap[i] = heap[child] as Event;
       i = child;
     }
--- a/packages/fuzz/src/targets/one-place.ts
+++ b/packages/fuzz/src/targets/one-place.ts
@@ -34,20 +34,20 @@
   'usurp',
 ] as const;
 
-const NODES = 3;
-const WORKERS = 3;
+const NODE_COUNT = 3;
+const WORKER_COUNT = 3;
 const JOB_MS = 9000;
-const HEAL_MS = 120_000;
-const HEAL_STEP_MS = 3000;
-const UNDER_WAY_MS = 300;
+const RECOVERY_LIMIT_MS = 120_000;
+const RECOVERY_STEP_MS = 3000;
+const IN_FLIGHT_MS = 300;
 
-/** Clocks differ in rate by up to this many thousandths. */
+/** The maximum deviation of a clock's rate from true time, in thousandths. */
 const CLOCK_SPREAD = 10;
 
 const step = fc.record({
   fault: fc.constantFrom(...FAULTS),
-  a: fc.nat(NODES - 1),
-  b: fc.nat(WORKERS - 1),
+  a: fc.nat(NODE_COUNT - 1),
+  b: fc.nat(WORKER_COUNT - 1),
   faultMs: fc.integer({ min: 100, max: 6000 }),
   passMs: fc.integer({ min: 10, max: 1200 }),
 });
@@ -57,8 +57,8 @@
 const script = fc.record({
   seed: fc.integer(),
   rates: fc.array(fc.integer({ min: -CLOCK_SPREAD, max: CLOCK_SPREAD }), {
-    minLength: NODES + WORKERS,
-    maxLength: NODES + WORKERS,
+    minLength: NODE_COUNT + WORKER_COUNT,
+    maxLength: NODE_COUNT + WORKER_COUNT,
   }),
   steps: fc.array(step, { minLength: 1, maxLength: 100, size: 'max' }),
 });
@@ -73,8 +73,9 @@
 const MANIFEST = makeManifest();
 
 /**
- * Nodes of one data centre with workers and a log, all of them failing: each task is executed
- * in one place, what has ended is over, and a checkpoint is resumed once.
+ * Fuzzes the nodes, the workers and the log of one data centre, all of which may fail. Each task is
+ * executed in only one place, an ended attempt does not run again, and each attempt resumes from
+ * the checkpoint of the previous one.
  */
 export class OnePlace extends FuzzTarget {
   readonly name = 'one-place';
@@ -134,34 +135,37 @@
     this.#script = drawn;
     this.#coverage = coverage;
     this.#network = new Network(this.#time, coverage, drawn.seed);
-    this.#workers = Array.from({ length: WORKERS }, (_, i) => this.#makeWorker(i));
+    this.#workers = Array.from({ length: WORKER_COUNT }, (_, i) => this.#makeWorker(i));
     this.#oracle = new Oracle(this.#workers, coverage);
     this.#log = new ModelLog(
       { time: this.#time, network: this.#network, coverage },
-      (offset, value) => this.#oracle.appended(offset, value),
+      (offset, value) => this.#oracle.checkAppend(offset, value),
     );
-    for (let i = 0; i < NODES; i += 1) this.#nodes.push(this.#makeNode(i));
+    for (let i = 0; i < NODE_COUNT; i += 1) this.#nodes.push(this.#makeNode(i));
   }
 
   run(): void {
-    this.#time.pass(3000);
+    this.#time.advance(3000);
     for (const drawn of this.#script.steps) {
       this.#coverage.step();
-      this.#setOff(drawn);
-      this.#time.pass(drawn.passMs);
+      this.#injectFault(drawn);
+      this.#time.advance(drawn.passMs);
     }
     this.#network.heal();
     this.#log.heal();
     this.#workers.forEach(({ hostId }) => this.#capacity.set(hostId, LARGE));
-    this.#finish();
+    this.#checkRecovery();
   }
 
-  /** Safe is not enough: once the faults are over, all work comes to its end. */
-  #finish(): void {
-    const end = this.#time.now + HEAL_MS;
+  /** Checks liveness beside safety: after the faults are over, all jobs must complete. */
+  #checkRecovery(): void {
+    const end = this.#time.now + RECOVERY_LIMIT_MS;
     while (this.#openJobs().length > 0) {
-      if (this.#time.now > end) throw new Error(`open: ${JSON.stringify(this.#openJobs())}`);
-      this.#time.pass(HEAL_STEP_MS);
+      if (this.#time.now > end)
+        throw new Error(
+          `tasks not completed after the faults: ${JSON.stringify(this.#openJobs())}`,
+        );
+      this.#time.advance(RECOVERY_STEP_MS);
     }
   }
 
@@ -172,10 +176,10 @@
     );
   }
 
-  #setOff({ fault, a, b, faultMs }: Step): void {
+  #injectFault({ fault, a, b, faultMs }: Step): void {
     const node = this.#nodes[a] as ModelNode;
     const worker = this.#workers[b] as ModelWorker;
-    const other = this.#nodes[(a + 1) % NODES] as ModelNode;
+    const other = this.#nodes[(a + 1) % NODE_COUNT] as ModelNode;
     switch (fault) {
       case 'pause':
         node.pause(faultMs);
@@ -193,9 +197,9 @@
         this.#isolate(worker, faultMs);
         break;
       case 'late-then-alone':
-        // What is under way when the worker is cut off still arrives, long after its sending.
-        this.#network.makeLate(UNDER_WAY_MS);
-        this.#time.after(UNDER_WAY_MS, () => this.#isolate(worker, faultMs));
+        // Messages in flight when the worker is cut off still arrive, long after they were sent.
+        this.#network.delayMessages(IN_FLIGHT_MS);
+        this.#time.after(IN_FLIGHT_MS, () => this.#isolate(worker, faultMs));
         break;
       case 'split':
         this.#split(node, worker, faultMs);
@@ -216,13 +220,13 @@
         this.#log.delayAppend();
         break;
       case 'late':
-        this.#network.makeLate(faultMs);
+        this.#network.delayMessages(faultMs);
         break;
       case 'twice':
-        this.#network.makeTwice(faultMs);
+        this.#network.duplicateMessages(faultMs);
         break;
       case 'usurp':
-        node.usurp();
+        node.claimTerm();
         break;
       case 'shrink':
       case 'grow':
@@ -237,7 +241,7 @@
     this.#nodes.forEach(({ nodeId }) => this.#network.cut(nodeId, hostId, ms));
   }
 
-  /** One node and one worker are alone with each other. */
+  /** Isolates one node together with one worker from all others. */
   #split(node: ModelNode, worker: ModelWorker, ms: number): void {
     for (const other of this.#nodes.filter((n) => n !== node)) {
       this.#network.cut(node.nodeId, other.nodeId, ms);
@@ -247,7 +251,7 @@
     this.#coverage.hit('worker-reached-by-one-node');
   }
 
-  /** A scheduler that holds the term binds every task to one host, whatever the state is. */
+  /** Makes the holder of the term bind every task to one host, regardless of the state. */
   #bindMistakenly({ hostId }: ModelWorker): void {
     const { term, holder = '', batchOffset: base, offset, tasks } = this.#oracle.fold;
     const actions = JOB_TASKS.map((taskId) => ({
@@ -280,11 +284,11 @@
     return new ModelWorker({
       hostId,
       time: this.#time,
-      rate: this.#rate(NODES + i),
+      rate: this.#rate(NODE_COUNT + i),
       jobMs: JOB_MS,
       events: {
-        starts: (worker, message) => this.#oracle.starts(worker, message),
-        lapsed: () => this.#coverage.hit('lease-lapsed'),
+        onStart: (worker, message) => this.#oracle.checkStart(worker, message),
+        onLeaseExpired: () => this.#coverage.hit('lease-lapsed'),
       },
     });
   }
