--- a/packages/fuzz/src/targets/kept-log.ts
+++ b/packages/fuzz/src/targets/expiring-log.ts
@@ -1,12 +1,12 @@
 import type { LogEntry } from '@redwingcrank/protocol';
 
-/** A stream that forgets its oldest records. */
-export class KeptLog {
+/** Models a stream whose oldest records expire. */
+export class ExpiringLog {
   readonly #entries: LogEntry[] = [];
 
   #first = 0;
 
-  /** The oldest offset kept. */
+  /** The oldest offset that has not expired. */
   get first(): number {
     return this.#first;
   }
@@ -20,7 +20,7 @@
     return this.next - 1;
   }
 
-  /** The records kept from an offset on. */
+  /** Yields the records from an offset on that have not expired. */
   *read(from: number): Generator<LogEntry> {
     for (let i = Math.max(from, this.#first); i < this.next; i += 1) {
       const entry = this.#entries[i];
@@ -28,7 +28,7 @@
     }
   }
 
-  /** Forgets records until so many are left. */
+  /** Expires the oldest records so that at most `keep` records are left. */
   expire(keep: number): void {
     this.#first = Math.max(this.#first, this.next - keep);
   }
--- a/packages/fuzz/src/targets/foreign-records.ts
+++ b/packages/fuzz/src/targets/foreign-records.ts
@@ -19,7 +19,7 @@
   resources: { cpu: 3, memoryMb: 300, accelerators: 0 },
 };
 
-const GOOD = [
+const VALID_RECORDS = [
   { type: 'claim', id: 'c1', term: 1, holder: 'n1/x' },
   {
     type: 'batch',
@@ -30,56 +30,61 @@
   },
 ];
 
-interface Stranger {
+interface ForeignRecord {
   readonly kind: 'foreign' | 'damaged' | 'next-version';
   readonly mutations: readonly Mutation[];
   readonly value: unknown;
   readonly copyOf: number;
 }
 
-const stranger: fc.Arbitrary<Stranger> = fc.record({
+const foreignRecord: fc.Arbitrary<ForeignRecord> = fc.record({
   kind: fc.constantFrom('foreign', 'damaged', 'next-version'),
   mutations: fc.array(mutation, { minLength: 1, maxLength: 3 }),
   value: fc.jsonValue(),
   copyOf: fc.nat({ max: 1 }),
 });
 
-/** Records of others, damaged ones and those of a later version among ours on a control stream. */
+/** Mixes foreign records, damaged records and records of a later version into a control stream. */
 export class ForeignRecords extends FuzzTarget {
   readonly name = 'foreign-records';
 
   readonly coveragePoints = ['foreign', 'damaged', 'next-version'];
 
   property(coverage: Coverage): fc.IRawProperty<unknown> {
-    const strangers = fc.array(stranger, { maxLength: MAX_RECORDS });
-    return fc.property(strangers, strangers, (before, after) =>
+    const foreignRecords = fc.array(foreignRecord, { maxLength: MAX_RECORDS });
+    return fc.property(foreignRecords, foreignRecords, (before, after) =>
       checkStream(before, after, coverage),
     );
   }
 }
 
-function recordOf({ kind, mutations, value, copyOf }: Stranger, i: number): unknown {
-  const good = { ...GOOD[copyOf], id: `s${i}` };
+function recordOf({ kind, mutations, value, copyOf }: ForeignRecord, i: number): unknown {
+  const valid = { ...VALID_RECORDS[copyOf], id: `s${i}` };
   if (kind === 'foreign') return value;
-  if (kind === 'damaged') return mutations.reduce<unknown>(mutate, good);
-  // What a later release may write: a new kind of record, or a field that this one does not know.
-  return copyOf === 0 ? { ...good, type: 'reservation' } : { ...good, zone: 'z1' };
+  if (kind === 'damaged') return mutations.reduce<unknown>(mutate, valid);
+  // A later release may write a new kind of record, or a field unknown to this release.
+  return copyOf === 0 ? { ...valid, type: 'reservation' } : { ...valid, zone: 'z1' };
 }
 
 function checkStream(
-  before: readonly Stranger[],
-  after: readonly Stranger[],
+  before: readonly ForeignRecord[],
+  after: readonly ForeignRecord[],
   coverage: Coverage,
 ): void {
   const fold = new ControlFold();
-  const records = [...before.map(recordOf), ...GOOD, ...after.map((s, i) => recordOf(s, 100 + i))];
+  const records = [
+    ...before.map(recordOf),
+    ...VALID_RECORDS,
+    ...after.map((s, i) => recordOf(s, 100 + i)),
+  ];
   [...before, ...after].forEach(({ kind }) => coverage.hit(kind));
   let term = 0;
   records.forEach((record, offset) => {
     coverage.step();
     const result = fold.apply(offset, record);
-    if (fold.term < term) throw new Error('the term went back');
-    if (!result.accepted && fold.term !== term) throw new Error('a void record changed the term');
+    if (fold.term < term) throw new Error('the term decreased');
+    if (!result.accepted && fold.term !== term)
+      throw new Error('a rejected record changed the term');
     term = fold.term;
     checkHosts(fold);
   });
@@ -91,7 +96,8 @@
       (task) => task.hostId === host.hostId && task.state !== 'ended',
     );
     const cpu = bound.reduce((sum, task) => sum + task.resources.cpu, 0);
-    // A host whose size a damaged record changed may be over-full, but takes nothing more.
-    if (Math.abs(cpu - host.committed.cpu) > 1e-6) throw new Error(`${host.hostId}: wrong sum`);
+    // A host whose capacity a damaged record changed may be over-committed, but accepts nothing more.
+    if (Math.abs(cpu - host.committed.cpu) > 1e-6)
+      throw new Error(`${host.hostId}: committed processors differ from the sum of its tasks`);
   }
 }
--- a/packages/fuzz/src/targets/index.ts
+++ b/packages/fuzz/src/targets/index.ts
@@ -10,7 +10,7 @@
 import { SnapshotEquivalence } from './snapshot-equivalence.js';
 import { StoreRecords } from './store-records.js';
 
-/** Every target, by the promise it watches. */
+/** All targets, in the order in which they run. */
 export const TARGETS: readonly FuzzTarget[] = [
   new ManifestRace(),
   new ManifestGossip(),
--- a/packages/fuzz/src/targets/manifest-gossip.ts
+++ b/packages/fuzz/src/targets/manifest-gossip.ts
@@ -5,14 +5,14 @@
 import { ManifestFold, StreamReader, splitSnapshot } from '@redwingcrank/decisions';
 import type { Coverage } from '../coverage.js';
 import { FuzzTarget } from '../fuzz-target.js';
-import { KeptLog } from './kept-log.js';
+import { ExpiringLog } from './expiring-log.js';
 import { manifestRecord } from './manifest-record.js';
 
-const NODES = 4;
+const NODE_COUNT = 4;
 const MAX_COMMANDS = 80;
-const KEPT = [1, 3, 8, 15];
+const RETAINED_COUNTS = [1, 3, 8, 15];
 
-const node = fc.nat({ max: NODES - 1 });
+const node = fc.nat({ max: NODE_COUNT - 1 });
 
 const command = fc.record({
   type: fc.oneof(
@@ -30,7 +30,7 @@
 
 type Command = typeof command extends fc.Arbitrary<infer T> ? T : never;
 
-/** One node: its fold is lost with a restart. */
+/** Models one node, whose fold is lost in a restart. */
 class GossipNode {
   readonly fold = new ManifestFold();
 
@@ -43,9 +43,9 @@
 }
 
 /**
- * Nodes start, stop, read late, lose the log and gossip while operators race and the log forgets:
- * no version goes back, nothing that the whole log rejects is ever in force, and nodes that hear
- * of each other end alike.
+ * Fuzzes nodes that restart, read late, lose the log and gossip while operators race and old log
+ * records expire: no version may decrease, no manifest that the complete log rejects may be in
+ * force, and nodes that exchange their states must end with the same state.
  */
 export class ManifestGossip extends FuzzTarget {
   readonly name = 'manifest-gossip';
@@ -73,18 +73,18 @@
 class Script {
   readonly #coverage: Coverage;
 
-  readonly #log = new KeptLog();
+  readonly #log = new ExpiringLog();
 
-  /** The oracle: reads every record at once. */
+  /** The oracle: a fold that applies every record at once. */
   readonly #full = new ManifestFold();
 
-  /** What was in force after each record of the whole log, by version. */
+  /** The manifests that were in force after a record of the complete log, by version. */
   readonly #accepted = new Map<number, string>();
 
-  readonly #nodes = Array.from({ length: NODES }, () => new GossipNode());
+  readonly #nodes = Array.from({ length: NODE_COUNT }, () => new GossipNode());
 
-  /** A state under way from a peer, to arrive late. */
-  #underWay: ManifestSnapshot | undefined;
+  /** A peer's state in flight that arrives late. */
+  #stateInFlight: ManifestSnapshot | undefined;
 
   #down = false;
 
@@ -98,20 +98,20 @@
     for (const { type, a, b } of commands) {
       this.#coverage.step();
       const before = this.#nodes.map((each) => [each, each.fold.version] as const);
-      this.#do(type, a, b);
-      // A node that was replaced in this step starts at nothing; the others may only go up.
-      const kept = before.filter(([each]) => this.#nodes.includes(each));
-      for (const [each, version] of kept) this.#check(each, version);
+      this.#runCommand(type, a, b);
+      // A node restarted in this step has no version; the versions of the others may only increase.
+      const remaining = before.filter(([each]) => this.#nodes.includes(each));
+      for (const [each, version] of remaining) this.#check(each, version);
     }
     this.#converge();
   }
 
-  #do(type: Command['type'], a: number, b: number): void {
+  #runCommand(type: Command['type'], a: number, b: number): void {
     if (type === 'read') this.#read(this.#at(a));
     else if (type === 'gossip') this.#gossip(this.#at(a), this.#at(b).reader.state());
-    else if (type === 'lateAnswer') this.#answerLate(this.#at(a), this.#at(b));
+    else if (type === 'lateAnswer') this.#deliverLateState(this.#at(a), this.#at(b));
     else if (type === 'restart') this.#restart(a);
-    else if (type === 'expire') this.#log.expire(KEPT[a] ?? 1);
+    else if (type === 'expire') this.#log.expire(RETAINED_COUNTS[a] ?? 1);
     else if (type === 'logDown' || type === 'logUp') this.#setDown(type === 'logDown');
     else if (type === 'snapshot' || type === 'cutShort') this.#snapshot(this.#at(a), type);
     else this.#publish(type, a);
@@ -168,9 +168,9 @@
     const { first } = this.#log;
     if (first > reader.next && reader.reader.lost(first)) this.#coverage.hit('lost');
     for (const entry of this.#log.read(reader.next)) {
-      const blind = !reader.reader.complete;
+      const wasIncomplete = !reader.reader.complete;
       reader.reader.take(entry);
-      if (blind && reader.reader.complete) this.#coverage.hit('recovered');
+      if (wasIncomplete && reader.reader.complete) this.#coverage.hit('recovered');
     }
     Object.assign(reader, { next: Math.max(reader.next, this.#log.next) });
   }
@@ -181,34 +181,39 @@
     if (this.#down) this.#coverage.hit('adoptedWhileDown');
   }
 
-  /** The answer that was asked for earlier comes now; another one sets out. */
-  #answerLate(to: GossipNode, from: GossipNode): void {
-    if (this.#underWay) this.#coverage.hit('lateAnswer');
-    this.#gossip(to, this.#underWay);
-    this.#underWay = from.reader.state();
+  /** Delivers the state that was requested earlier and requests another one. */
+  #deliverLateState(to: GossipNode, from: GossipNode): void {
+    if (this.#stateInFlight) this.#coverage.hit('lateAnswer');
+    this.#gossip(to, this.#stateInFlight);
+    this.#stateInFlight = from.reader.state();
   }
 
   #check({ fold }: GossipNode, version: number): void {
-    if (fold.version < version) throw new Error(`from ${version} back to ${fold.version}`);
+    if (fold.version < version)
+      throw new Error(`the version decreased from ${version} to ${fold.version}`);
     if (fold.version === 0) return;
     if (this.#accepted.get(fold.version) !== JSON.stringify(fold.inForce)) {
-      throw new Error(`version ${fold.version} is in force here and was never accepted`);
+      throw new Error(`version ${fold.version} is in force on a node but was never accepted`);
     }
   }
 
-  /** The log answers again and all hear each other: whoever can know, must know. */
+  /** Restores the log and exchanges all states: afterwards all nodes must agree if any is complete. */
   #converge(): void {
     this.#down = false;
     this.#nodes.forEach((each) => this.#read(each));
     const states = this.#nodes.map((each) => each.reader.state());
     for (const each of this.#nodes) states.forEach((state) => this.#gossip(each, state));
-    const whole = this.#nodes.filter((each) => each.reader.complete);
-    if (whole.length !== 0 && whole.length !== NODES && states.some((state) => state)) {
-      throw new Error(`${NODES - whole.length} nodes lack what a peer has`);
+    const complete = this.#nodes.filter((each) => each.reader.complete);
+    if (complete.length !== 0 && complete.length !== NODE_COUNT && states.some((state) => state)) {
+      throw new Error(
+        `${NODE_COUNT - complete.length} nodes are incomplete although a peer has a state`,
+      );
     }
-    for (const { fold } of whole) {
+    for (const { fold } of complete) {
       if (fold.version !== this.#full.version) {
-        throw new Error(`${fold.version} at the end, ${this.#full.version} by the whole log`);
+        throw new Error(
+          `a node ended at version ${fold.version}, the complete log at ${this.#full.version}`,
+        );
       }
     }
   }
--- a/packages/fuzz/src/targets/manifest-mutation.ts
+++ b/packages/fuzz/src/targets/manifest-mutation.ts
@@ -37,7 +37,7 @@
   ],
 };
 
-/** Damaged manifests: none crashes a reader, and none that breaks a rule takes force. */
+/** Reads damaged manifests: none may crash a reader, and none that breaks a rule may be accepted. */
 export class ManifestMutation extends FuzzTarget {
   readonly name = 'manifest-mutation';
 
@@ -55,22 +55,22 @@
   const reading = readManifest(damaged);
   if (reading.ok) checkRules(reading.manifest);
   else if (reading.faults.some((fault) => fault.path === '' || fault.expected === '')) {
-    throw new Error('a fault without a path or an expectation');
+    throw new Error('a fault has no path or does not say what was expected');
   }
   coverage.hit(reading.ok ? 'harmless' : 'refused');
   const fold = new ManifestFold();
   const first = fold.apply(0, { type: 'manifest', id: 'damaged', manifest: damaged });
-  if (first.accepted && !reading.ok) throw new Error('a bad manifest took force');
+  if (first.accepted && !reading.ok) throw new Error('an invalid manifest was accepted');
   if (first.accepted) return;
-  if (fold.version !== 0) throw new Error('a refused manifest changed the version');
+  if (fold.version !== 0) throw new Error('a rejected manifest changed the version');
   const good = fold.apply(1, { type: 'manifest', id: 'good', manifest: BASE });
-  if (!good.accepted) throw new Error('a refused manifest keeps a good one out');
+  if (!good.accepted) throw new Error('a valid manifest was rejected after an invalid one');
   coverage.hit('refused-after-good');
   fold.apply(2, mutations.reduce<unknown>(mutate, { type: 'manifest', id: 'x', manifest: BASE }));
-  if (fold.version < 1) throw new Error('the version went back');
+  if (fold.version < 1) throw new Error('the version decreased');
 }
 
-/** The rules of a manifest, written down a second time in the plainest way. */
+/** Checks the rules of a manifest with a second, simple implementation. */
 function checkRules(manifest: Manifest): void {
   const { version, replaces, teams, services, jobs, dataCentres } = manifest;
   const teamNames = teams.map((team) => team.name);
@@ -82,7 +82,7 @@
     ...jobs.map((job) => job.dataCentre),
   ];
   const rules: [string, boolean][] = [
-    ['the version goes up', version > replaces && Number.isSafeInteger(version)],
+    ['the version increases', version > replaces && Number.isSafeInteger(version)],
     ['names are unique', new Set(names).size === names.length],
     ['teams exist', owners.every((owner) => teamNames.includes(owner.team))],
     ['data centres exist', places.every((place) => dataCentres.includes(place))],
@@ -90,5 +90,6 @@
     ['jobs have tasks', jobs.every((job) => job.tasks >= 1)],
   ];
   const broken = rules.filter(([, holds]) => !holds).map(([rule]) => rule);
-  if (broken.length > 0) throw new Error(`accepted although: ${broken.join(', ')}`);
+  if (broken.length > 0)
+    throw new Error(`accepted a manifest that breaks these rules: ${broken.join(', ')}`);
 }
--- a/packages/fuzz/src/targets/manifest-race.ts
+++ b/packages/fuzz/src/targets/manifest-race.ts
@@ -13,7 +13,10 @@
 
 const MAX_PUBLICATIONS = 60;
 
-/** Operators race, replay and publish nonsense: the version goes up, alike for every reader. */
+/**
+ * Publishes racing, repeated and invalid manifests: the version may only increase, and all readers
+ * must get the same version.
+ */
 export class ManifestRace extends FuzzTarget {
   readonly name = 'manifest-race';
 
@@ -26,7 +29,7 @@
 }
 
 function checkScript(publications: readonly Publication[], coverage: Coverage): void {
-  const early = new ManifestFold();
+  const immediate = new ManifestFold();
   const records: unknown[] = [];
   let version = 0;
   let base = 0;
@@ -34,23 +37,26 @@
     coverage.step();
     const record = recordOf(drawn, { offset, version, base, records });
     records.push(record);
-    const verdict = early.apply(offset, record);
-    const wanted =
+    const verdict = immediate.apply(offset, record);
+    const shouldAccept =
       drawn.kind === 'next' ||
       (drawn.kind === 'racer' && base === version) ||
       (drawn.kind === 'move' && version === 0);
-    if (!wanted) coverage.hit(drawn.kind);
+    if (!shouldAccept) coverage.hit(drawn.kind);
     if (drawn.kind === 'racer' && base !== version) coverage.hit('racer');
-    if (verdict.accepted !== wanted) throw new Error(`offset ${offset}: accepted ${!wanted}`);
-    if (wanted) {
+    if (verdict.accepted !== shouldAccept)
+      throw new Error(`offset ${offset}: wrong verdict accepted=${!shouldAccept}`);
+    if (shouldAccept) {
       base = version;
-      version = early.version;
+      version = immediate.version;
     }
-    if (early.version < version) throw new Error(`version went back to ${early.version}`);
+    if (immediate.version < version)
+      throw new Error(`the version decreased to ${immediate.version}`);
   });
-  const late = new ManifestFold();
-  records.forEach((record, offset) => late.apply(offset, record));
-  if (late.version !== early.version) throw new Error('two readers disagree');
+  const replayed = new ManifestFold();
+  records.forEach((record, offset) => replayed.apply(offset, record));
+  if (replayed.version !== immediate.version)
+    throw new Error('two readers of the same records have different versions');
 }
 
 interface Progress {
@@ -62,8 +68,8 @@
 
 function recordOf(drawn: Publication, { offset, version, base, records }: Progress): unknown {
   const replaces = drawn.kind === 'racer' ? base : version;
-  const place = drawn.kind === 'move' && version > 0 ? 'dc2' : 'dc1';
-  const manifest = { ...emptyManifest(replaces + drawn.step, replaces), ...oneJob(place) };
+  const dataCentre = drawn.kind === 'move' && version > 0 ? 'dc2' : 'dc1';
+  const manifest = { ...emptyManifest(replaces + drawn.step, replaces), ...oneJob(dataCentre) };
   const id = `m${offset}`;
   if (drawn.kind === 'foreign') return { some: 'thing' };
   if (drawn.kind === 'replay') return records[0] ?? { some: 'thing' };
@@ -71,7 +77,7 @@
   return { type: 'manifest', id, manifest };
 }
 
-/** A job must stay in its data centre from version to version. */
+/** Returns a job in the given data centre; a later version must not move the job to another. */
 function oneJob(dataCentre: string): object {
   const resources = { cpu: 1, memoryMb: 1 };
   return {
--- a/packages/fuzz/src/targets/manifest-record.ts
+++ b/packages/fuzz/src/targets/manifest-record.ts
@@ -1,4 +1,4 @@
-/** A manifest without contents, under a version. */
+/** Returns a manifest of the given version without teams, services and jobs. */
 export function emptyManifest(version: number, replaces: number): object {
   return {
     apiVersion: 'redwingcrank/v1',
@@ -11,7 +11,7 @@
   };
 }
 
-/** Its record on the log. */
+/** Returns the log record of an empty manifest. */
 export function manifestRecord(id: string, version: number, replaces: number): object {
   return { type: 'manifest', id, manifest: emptyManifest(version, replaces) };
 }
--- a/packages/fuzz/src/targets/mutated-json.ts
+++ b/packages/fuzz/src/targets/mutated-json.ts
@@ -1,17 +1,17 @@
 import fc from 'fast-check';
 
-/** One change to a JSON value: the value at a place is replaced, dropped or joined by a stranger. */
+/** One change to a JSON value: the value at a path is replaced or dropped, or gets an extra sibling. */
 export interface Mutation {
   readonly kind: 'replace' | 'drop' | 'extra';
-  /** Each number picks one key of the value reached so far. */
+  /** Each number selects one key of the value at the path so far, modulo the number of keys. */
   readonly path: readonly number[];
   readonly value: unknown;
 }
 
 const MAX_DEPTH = 6;
 
-/** Values that programs are known to trip over, beside any JSON. */
-const nasty = fc.constantFrom<unknown>(
+/** Values that programs often handle wrongly, drawn in addition to arbitrary JSON. */
+const edgeCase = fc.constantFrom<unknown>(
   null,
   '',
   -1,
@@ -28,26 +28,26 @@
 export const mutation: fc.Arbitrary<Mutation> = fc.record({
   kind: fc.constantFrom('replace', 'drop', 'extra'),
   path: fc.array(fc.nat(), { minLength: 1, maxLength: MAX_DEPTH }),
-  value: fc.oneof(nasty, fc.jsonValue()),
+  value: fc.oneof(edgeCase, fc.jsonValue()),
 });
 
-/** A copy of the value with the mutation applied. */
-export function mutate(value: unknown, { kind, path, value: stranger }: Mutation): unknown {
+/** Returns a copy of the value with the mutation applied. */
+export function mutate(value: unknown, { kind, path, value: newValue }: Mutation): unknown {
   const copy: unknown = structuredClone(value);
   let parent: Record<string, unknown> | undefined;
   let key = '';
-  let at: unknown = copy;
-  for (const pick of path) {
-    if (typeof at !== 'object' || at === null) break;
-    const keys = Object.keys(at);
+  let current: unknown = copy;
+  for (const index of path) {
+    if (typeof current !== 'object' || current === null) break;
+    const keys = Object.keys(current);
     if (keys.length === 0) break;
-    parent = at as Record<string, unknown>;
-    key = keys[pick % keys.length] ?? '';
-    at = parent[key];
+    parent = current as Record<string, unknown>;
+    key = keys[index % keys.length] ?? '';
+    current = parent[key];
   }
-  if (!parent) return stranger;
-  if (kind === 'replace') parent[key] = stranger;
+  if (!parent) return newValue;
+  if (kind === 'replace') parent[key] = newValue;
   else if (kind === 'drop') delete parent[key];
-  else Object.defineProperty(parent, `extra-${key}`, { value: stranger, enumerable: true });
+  else Object.defineProperty(parent, `extra-${key}`, { value: newValue, enumerable: true });
   return copy;
 }
--- a/packages/fuzz/src/targets/plan-world.ts
+++ b/packages/fuzz/src/targets/plan-world.ts
@@ -13,16 +13,16 @@
 import type { Coverage } from '../coverage.js';
 
 const DATA_CENTRE = 'dc1';
-const HOSTS = 6;
+const HOST_COUNT = 6;
 const MINUTE_MS = 60_000;
 const NAMES = ['n0', 'n1', 'n2', 'n3', 'n4', 'n5', 'n6', 'n7'] as const;
 const TIERS = ['critical', 'high', 'normal', 'low'] as const;
-/** More steps than this at this size mean that a pass does not end. */
-const MAX_STEPS = 5_000;
+/** A pass over this few hosts and tasks that takes more steps does not terminate. */
+const MAX_PASS_STEPS = 5_000;
 
 const cores = (cpu: number): Resources => ({ cpu, memoryMb: cpu * 100, accelerators: 0 });
 
-/** A small data centre with the oracle that watches its passes. */
+/** Models a small data centre and checks its passes. */
 export class PlanWorld {
   readonly #coverage: Coverage;
 
@@ -44,11 +44,11 @@
 
   constructor(coverage: Coverage) {
     this.#coverage = coverage;
-    for (let i = 0; i < HOSTS; i += 1) this.#hosts.set(`w${i}`, hostOf(i, 8));
+    for (let i = 0; i < HOST_COUNT; i += 1) this.#hosts.set(`w${i}`, hostOf(i, 8));
     this.#append({ type: 'claim', term: 1 });
   }
 
-  /** Runs one command; what it does depends on two small numbers. */
+  /** Runs one command; two small numbers select its objects and sizes. */
   run(kind: string, a: number, b: number): void {
     switch (kind) {
       case 'pass':
@@ -71,13 +71,13 @@
   }
 
   #changeHost(kind: string, a: number, b: number): void {
-    const id = `w${a % HOSTS}`;
+    const id = `w${a % HOST_COUNT}`;
     const host = this.#hosts.get(id);
-    if (kind === 'host-returns') this.#hosts.set(id, hostOf(a % HOSTS, 8));
+    if (kind === 'host-returns') this.#hosts.set(id, hostOf(a % HOST_COUNT, 8));
     else if (host) this.#coverage.hit(kind);
     if (kind === 'host-vanishes') this.#hosts.delete(id);
     if (kind === 'host-leaves' && host) this.#hosts.set(id, { ...host, state: 'leaving' });
-    if (kind === 'host-shrinks' && host) this.#hosts.set(id, hostOf(a % HOSTS, 1 + b));
+    if (kind === 'host-shrinks' && host) this.#hosts.set(id, hostOf(a % HOST_COUNT, 1 + b));
   }
 
   #changeManifest(kind: string, a: number, b: number): void {
@@ -96,7 +96,7 @@
     }
   }
 
-  /** A job takes the name that a service had, or the other way round. */
+  /** Replaces a service by a job of the same name, or the other way round. */
   #swap(name: string, b: number): void {
     if (this.#services.delete(name)) {
       this.#jobs.set(name, this.#jobOf(name, { urgent: false, a: b, b }));
@@ -142,7 +142,8 @@
     const actions = steps.flatMap((step) => (step.type === 'action' ? [step.action] : []));
     const unplaced = steps.flatMap((step) => (step.type === 'unplaced' ? [step.unplaced] : []));
     const { voided } = this.#append({ type: 'batch', term: 1, actions });
-    if (voided.length > 0) throw new Error(`voided: ${voided.join('; ')}`);
+    if (voided.length > 0)
+      throw new Error(`the fold voided actions of the pass: ${voided.join('; ')}`);
     this.#checkHosts(actions);
     this.#checkQuotas(manifest, actions);
     this.#checkUnplaced(manifest, unplaced);
@@ -164,12 +165,12 @@
     };
     for (const step of planPass(input)) {
       steps.push(step);
-      if (steps.length > MAX_STEPS) throw new Error('the pass does not end');
+      if (steps.length > MAX_PASS_STEPS) throw new Error('the pass does not terminate');
     }
     return steps;
   }
 
-  /** A host that shrank may stand above its new capacity, but nothing may be added to it. */
+  /** Checks hosts with new tasks; a host whose capacity shrank may exceed it, but gets no new task. */
   #checkHosts(actions: readonly ControlAction[]): void {
     for (const hostId of new Set(binds(actions).map((action) => action.hostId))) {
       const used = sum([...this.#fold.tasks.values()].filter((t) => isOn(t, hostId)));
@@ -188,7 +189,8 @@
         (task) =>
           task.state !== 'ended' && this.#isWanted(task) && teamOf(task.owner) === team?.name,
       );
-      if (!team || !fits(sum(tasks), team.quota)) throw new Error(`quota of ${team?.name} broken`);
+      if (!team || !fits(sum(tasks), team.quota))
+        throw new Error(`the tasks of team ${team?.name} exceed its quota`);
     }
   }
 
@@ -196,25 +198,25 @@
     return kind === 'job' ? this.#jobs.has(owner) : this.#services.has(owner);
   }
 
-  /** Room only shrinks during a pass, so what found none must find none at its end. */
+  /** Checks unplaced tasks: capacity only shrinks during a pass, so none may fit at its end. */
   #checkUnplaced({ teams }: Manifest, unplaced: readonly Unplaced[]): void {
     for (const { owner, reason } of unplaced) {
       this.#coverage.hit(reason === 'quota' ? 'over-quota' : reason);
       const wanted = this.#jobs.get(owner) ?? this.#services.get(owner);
       const racks = this.#jobs.get(owner)?.racks ?? [];
-      const open = [...this.#fold.hosts.values()].filter(
+      const candidates = [...this.#fold.hosts.values()].filter(
         (host) =>
           host.state === 'live' &&
           (racks.length === 0 || racks.includes(host.rack)) &&
           wanted !== undefined &&
           fits(wanted.resources, subtractResources(host.capacity, host.committed)),
       );
-      if (reason === 'no-room' && open.length > 0 && !unplaced.some(isEvictionPending)) {
-        throw new Error(`${owner} waits for room, which ${open[0]?.hostId} has`);
+      if (reason === 'no-room' && candidates.length > 0 && !unplaced.some(isEvictionPending)) {
+        throw new Error(`${owner} waits for capacity although ${candidates[0]?.hostId} has enough`);
       }
       const quota = teams.find(({ name }) => name === wanted?.team)?.quota;
       if (reason === 'exceeds-quota' && wanted && quota && fits(wanted.resources, quota)) {
-        throw new Error(`${owner} is said to exceed a quota that holds it`);
+        throw new Error(`${owner} is reported to exceed its quota but fits into it`);
       }
     }
   }
--- a/packages/fuzz/src/targets/plan.ts
+++ b/packages/fuzz/src/targets/plan.ts
@@ -28,13 +28,13 @@
   b: small,
 });
 
-/** Short scripts never fill the hosts. */
+/** Long enough to fill the hosts. */
 const COMMANDS = { minLength: 15, maxLength: 60, size: 'max' } as const;
 
 /**
- * Passes over a data centre that changes at random. Whatever happens: no action of a pass is
- * voided by the fold that it was planned on, no binding breaks a quota or over-commits a host,
- * nothing that would fit is left waiting for room, and a pass ends.
+ * Runs passes over a data centre that changes at random. In every case, the fold that a pass was
+ * planned on rejects none of its actions, no binding exceeds a quota or over-commits a host, no
+ * task that would fit keeps waiting for capacity, and the pass terminates.
  */
 export class Plan extends FuzzTarget {
   readonly name = 'plan';
--- a/packages/fuzz/src/targets/request-sends.ts
+++ b/packages/fuzz/src/targets/request-sends.ts
@@ -3,7 +3,7 @@
 import type { RequestState } from '@redwingcrank/decisions';
 import type { Coverage } from '../coverage.js';
 
-/** What becomes of each send; a lost one may have run or not, and nobody here can tell. */
+/** The outcomes of a send; the sender cannot know whether a lost send has run. */
 const ENDS = ['answer', 'not-sent', 'not-run', 'lost-ran', 'lost-unread'] as const;
 
 export const requestSends = fc.record({
@@ -13,7 +13,7 @@
 
 type RequestSends = typeof requestSends extends fc.Arbitrary<infer T> ? T : never;
 
-/** Takes one request through its sends by its chart, and checks what its caller is told. */
+/** Runs one request's sends through its state chart and checks the outcome that its caller gets. */
 export function checkSends({ idempotent, ends }: RequestSends, coverage: Coverage): void {
   let state: RequestState | undefined = requestChart.initial;
   let runs = 0;
@@ -28,9 +28,10 @@
     state = sent && requestChart.next(sent, SEND_EVENTS[result]);
   }
   if (state === undefined) throw new Error(`no state after ${ends.join(', ')}`);
-  if (runs > 1 && !idempotent) throw new Error(`ran ${runs} times`);
+  if (runs > 1 && !idempotent)
+    throw new Error(`a request that is not idempotent ran ${runs} times`);
   const answered = requestChart.isFinal(state);
   if (!answered && unansweredOutcome(state) === 'not-run' && runs > 0) {
-    throw new Error(`told not-run after ${runs} runs`);
+    throw new Error(`outcome not-run after ${runs} runs`);
   }
 }
--- a/packages/fuzz/src/targets/request-world.ts
+++ b/packages/fuzz/src/targets/request-world.ts
@@ -3,7 +3,7 @@
 import type { Coverage } from '../coverage.js';
 import type { RequestStep } from './requests.js';
 
-/** Entry hosts by the settings of all. */
+/** The entry hosts that the settings of every host list. */
 export const HOSTS = [
   { nodeId: 'a1', dataCentre: 'dc1' },
   { nodeId: 'a2', dataCentre: 'dc1' },
@@ -12,13 +12,13 @@
 
 export const KEYS = ['k1', 'k2', 'k3', 'dc1/k4', 'dc2/k5'] as const;
 
-/** One draw in so many sends a key with other content. */
+/** The value of `sameRequest`, drawn from 0 up to this, that sends a key with other content. */
 export const OTHER_CONTENT = 9;
 
 const LIMITS = { windowMs: 600_000, maxDelayMs: 30_000, maxKeys: 2, maxAnswerBytes: 2 };
 
-/** By so much the callers' clocks run slow: the table stretches ages by a little more. */
-const CALLER_CLOCK = 0.995;
+/** The rate of the callers' clocks; the table allows for clocks that are slightly slower still. */
+const CALLER_CLOCK_RATE = 0.995;
 
 const ANSWER_BYTES = 1;
 
@@ -26,9 +26,9 @@
   readonly nodeId: string;
   incarnation: number;
   table: KeyTable<string>;
-  cut: boolean;
-  /** What the process that was shut down handed on; it is down until it is started again. */
-  handedOn: { readonly memory: KeyMemory; readonly at: number } | undefined;
+  isCut: boolean;
+  /** The keys that a drained process handed over; set until the host is started again. */
+  handedOver: { readonly memory: KeyMemory; readonly at: number } | undefined;
 }
 
 interface Send {
@@ -48,8 +48,8 @@
 }
 
 /**
- * Entry hosts, callers and endpoints around the real key tables, in virtual time. It counts what
- * the endpoints ran and checks each word that callers are told against that.
+ * Models entry hosts, callers and endpoints around the real key tables, in virtual time. Counts the
+ * runs at the endpoints and checks all answers to callers against them.
  */
 export class RequestWorld {
   readonly #coverage: Coverage;
@@ -64,7 +64,7 @@
 
   #inFlight: Send[] = [];
 
-  #open: Run[] = [];
+  #openRuns: Run[] = [];
 
   #now = 0;
 
@@ -72,9 +72,9 @@
     this.#coverage = coverage;
     this.#hosts = HOSTS.map(({ nodeId }) => {
       const table = new KeyTable<string>(LIMITS, this.#now);
-      // The first process of each name finds no predecessor on the log.
+      // The first process of each host finds no predecessor on the log.
       table.assumeNoEarlierHome();
-      return { nodeId, incarnation: 0, table, cut: false, handedOn: undefined };
+      return { nodeId, incarnation: 0, table, isCut: false, handedOver: undefined };
     });
   }
 
@@ -98,10 +98,10 @@
       case 'drain':
         return this.#drain(host);
       case 'cut':
-        host.cut = true;
+        host.isCut = true;
         return undefined;
       case 'heal':
-        host.cut = false;
+        host.isCut = false;
         return undefined;
       default:
         this.#now += drawn.ms;
@@ -109,19 +109,19 @@
     }
   }
 
-  /** A caller sends a key, for the first time or again, but never later than it may. */
+  /** Sends a key for the first time or again, but never after its window. */
   #send({ key: index, host, stated, sameRequest }: RequestStep): void {
     const key = KEYS[index] as string;
     const first = this.#firstSends.get(key) ?? this.#now;
     this.#firstSends.set(key, first);
     const age = this.#now - first;
     if (age > LIMITS.windowMs) return;
-    const ageMs = stated ? Math.floor(age * CALLER_CLOCK) : undefined;
+    const ageMs = stated ? Math.floor(age * CALLER_CLOCK_RATE) : undefined;
     const content = sameRequest === OTHER_CONTENT ? `${key}'` : key;
     this.#inFlight.push({ key, content, at: this.#now, ageMs, host });
   }
 
-  /** A send arrives, in any order, at its entry host and from there at the key's home. */
+  /** Delivers a send, in any order, to its entry host and from there to the key's home. */
   #deliver(index: number): void {
     const send = this.#take(this.#inFlight, index);
     if (!send || this.#now - send.at > LIMITS.maxDelayMs) return;
@@ -129,15 +129,15 @@
     const entry = this.#hosts[send.host] as Host;
     const homeId = keyHome(send.key, HOSTS);
     const home = this.#hosts.find(({ nodeId }) => nodeId === homeId);
-    if (!home || home.handedOn || entry.handedOn) return;
-    if (home !== entry && (home.cut || entry.cut)) {
+    if (!home || home.handedOver || entry.handedOver) return;
+    if (home !== entry && (home.isCut || entry.isCut)) {
       this.#coverage.hit('home-cut');
       return;
     }
-    this.#begin(home, send);
+    this.#startAtHome(home, send);
   }
 
-  #begin(home: Host, send: Send): void {
+  #startAtHome(home: Host, send: Send): void {
     const sizeBefore = home.table.size;
     const verdict = home.table.start(send.key, send.content, send.ageMs, this.#now);
     if (home.table.size < sizeBefore + (verdict.type === 'run' ? 1 : 0)) {
@@ -147,7 +147,7 @@
     if (verdict.type === 'run') {
       const { incarnation } = home;
       const { key, content } = send;
-      this.#open.push({ key, content, home, incarnation, started: false });
+      this.#openRuns.push({ key, content, home, incarnation, started: false });
     }
     if (verdict.type === 'answer') checkAnswer(send, verdict.answer);
   }
@@ -162,9 +162,9 @@
     }
   }
 
-  /** The endpoint reads the request, also when the home that sent it has died since. */
+  /** Lets the endpoint read a request, even if the home that sent it has crashed meanwhile. */
   #start(index: number): void {
-    const run = this.#open.filter(({ started }) => !started)[index % 3];
+    const run = this.#openRuns.filter(({ started }) => !started)[index % 3];
     if (run) this.#startRun(run);
   }
 
@@ -176,10 +176,10 @@
   }
 
   #end(index: number, type: RunOutcome<string>['type']): void {
-    const run = this.#open[index % Math.max(1, this.#open.length)];
+    const run = this.#openRuns[index % Math.max(1, this.#openRuns.length)];
     if (!run || (type === 'answer' && !run.started) || (type === 'not-run' && run.started)) return;
     if (type === 'unknown' && !run.started) return;
-    this.#open = this.#open.filter((other) => other !== run);
+    this.#openRuns = this.#openRuns.filter((other) => other !== run);
     if (run.home.incarnation !== run.incarnation) {
       this.#coverage.hit('answer-after-crash');
       return;
@@ -189,19 +189,20 @@
       return;
     }
     this.#coverage.hit(type === 'not-run' ? 'not-run' : 'answer-lost');
-    if (type === 'not-run' && this.#runs.has(run.key)) throw new Error(`${run.key} did run`);
+    if (type === 'not-run' && this.#runs.has(run.key))
+      throw new Error(`${run.key} ended as not-run but has run`);
     run.home.table.end(run.key, { type: type as 'unknown' | 'not-run' });
   }
 
-  /** A graceful end: all that runs is answered first, and peers keep the keys. */
+  /** Shuts the host down gracefully: open runs are answered first, and peers keep its keys. */
   #drain(host: Host): void {
-    if (host.handedOn) return;
+    if (host.handedOver) return;
     this.#coverage.hit('home-drained');
-    for (const run of this.#open.filter((r) => this.#isOf(r, host))) {
+    for (const run of this.#openRuns.filter((r) => this.#isOf(r, host))) {
       if (!run.started) this.#startRun(run);
-      this.#end(this.#open.indexOf(run), 'answer');
+      this.#end(this.#openRuns.indexOf(run), 'answer');
     }
-    Object.assign(host, { handedOn: { memory: host.table.export(this.#now), at: this.#now } });
+    Object.assign(host, { handedOver: { memory: host.table.export(this.#now), at: this.#now } });
   }
 
   #isOf(run: Run, host: Host): boolean {
@@ -209,15 +210,15 @@
   }
 
   #restart(host: Host): void {
-    if (this.#open.some((r) => this.#isOf(r, host))) this.#coverage.hit('crash-while-running');
+    if (this.#openRuns.some((r) => this.#isOf(r, host))) this.#coverage.hit('crash-while-running');
     this.#crashedHomes.add(host.nodeId);
     host.incarnation += 1;
     host.table = new KeyTable<string>(LIMITS, this.#now);
-    if (!host.handedOn) return;
-    const { memory, at } = host.handedOn;
+    if (!host.handedOver) return;
+    const { memory, at } = host.handedOver;
     if (memory.keys.length > 0) this.#coverage.hit('memory-handed-on');
     host.table.import(memory, this.#now - at, this.#now);
-    Object.assign(host, { handedOn: undefined });
+    Object.assign(host, { handedOver: undefined });
   }
 
   #take<T>(items: T[], index: number): T | undefined {
@@ -226,5 +227,6 @@
 }
 
 function checkAnswer({ key, content }: Send, answer: string): void {
-  if (answer !== content) throw new Error(`${key}: ${content} got the answer to ${answer}`);
+  if (answer !== content)
+    throw new Error(`${key}: the request ${content} got the answer to ${answer}`);
 }
--- a/packages/fuzz/src/targets/requests.ts
+++ b/packages/fuzz/src/targets/requests.ts
@@ -18,8 +18,8 @@
   'wait',
 ] as const;
 
-/** Drawn more often, so that runs get as far as their answers. */
-const USUAL = [
+/** The steps drawn more often, so that runs proceed to their answers. */
+const FREQUENT_KINDS = [
   'send',
   'send',
   'deliver',
@@ -31,10 +31,10 @@
 ] as const;
 
 const step = fc.record({
-  kind: fc.constantFrom(...KINDS, ...USUAL),
+  kind: fc.constantFrom(...KINDS, ...FREQUENT_KINDS),
   key: fc.nat(KEYS.length - 1),
   host: fc.nat(HOSTS.length - 1),
-  /** Which of the messages or runs that are open; taken modulo their number. */
+  /** Selects one of the open messages or runs, modulo their number. */
   index: fc.nat(20),
   stated: fc.boolean(),
   sameRequest: fc.integer({ min: 0, max: OTHER_CONTENT }),
@@ -45,7 +45,10 @@
 
 const LENGTHS = { minLength: 20, maxLength: 120, size: 'max' } as const;
 
-/** Callers repeat keys anywhere while homes crash, are cut off and lose answers: one run at most. */
+/**
+ * Fuzzes callers that repeat keys at any host while the keys' homes crash, are disconnected and lose
+ * answers: each key may run at most once.
+ */
 export class Requests extends FuzzTarget {
   readonly name = 'requests';
 
--- a/packages/fuzz/src/targets/snapshot-equivalence.ts
+++ b/packages/fuzz/src/targets/snapshot-equivalence.ts
@@ -3,7 +3,7 @@
 import { ControlFold, StreamReader, splitSnapshot } from '@redwingcrank/decisions';
 import type { Coverage } from '../coverage.js';
 import { FuzzTarget } from '../fuzz-target.js';
-import { KeptLog } from './kept-log.js';
+import { ExpiringLog } from './expiring-log.js';
 
 const small = fc.nat({ max: 3 });
 
@@ -27,7 +27,7 @@
 type Command = typeof command extends fc.Arbitrary<infer T> ? T : never;
 
 const MAX_COMMANDS = 80;
-const KEPT = [2, 6, 12, 20];
+const RETAINED_COUNTS = [2, 6, 12, 20];
 
 interface Reader {
   readonly fold: ControlFold;
@@ -41,8 +41,9 @@
 }
 
 /**
- * Readers arrive after the log has lost records, snapshots are cut short, stale or garbage: a
- * reader that counts as whole has exactly the state of one that read every record.
+ * Fuzzes readers that start after log records have expired, and snapshots that are truncated, stale
+ * or invalid: a reader that counts as complete must have exactly the state of a reader of every
+ * record.
  */
 export class SnapshotEquivalence extends FuzzTarget {
   readonly name = 'snapshot-equivalence';
@@ -66,19 +67,19 @@
 class Script {
   readonly #coverage: Coverage;
 
-  readonly #log = new KeptLog();
+  readonly #log = new ExpiringLog();
 
-  /** Reads every record as soon as it is there. */
+  /** Reads every record as soon as it is appended. */
   readonly #full = newReader();
 
-  readonly #late: Reader[] = [newReader()];
+  readonly #laggingReaders: Reader[] = [newReader()];
 
-  /** The state after each record. */
-  readonly #states = new Map<number, string>([[-1, plain(new ControlFold())]]);
+  /** The state after each record, by offset. */
+  readonly #states = new Map<number, string>([[-1, canonicalJson(new ControlFold())]]);
 
   #records = 0;
 
-  #stale: ReturnType<ControlFold['toSnapshot']> | undefined;
+  #staleState: ReturnType<ControlFold['toSnapshot']> | undefined;
 
   constructor(coverage: Coverage) {
     this.#coverage = coverage;
@@ -87,26 +88,26 @@
   run(commands: readonly Command[]): void {
     for (const { type, a, b } of commands) {
       this.#coverage.step();
-      this.#do(type, a, b);
+      this.#runCommand(type, a, b);
       this.#read(this.#full);
-      // Reader number `b` looks at the log now; the others fall behind, perhaps past retention.
-      const reader = this.#late[b % this.#late.length];
+      // Only reader number `b` reads the log; the others fall behind, perhaps past the retention.
+      const reader = this.#laggingReaders[b % this.#laggingReaders.length];
       if (reader) this.#read(reader);
-      this.#late.forEach((late) => this.#check(late));
+      this.#laggingReaders.forEach((late) => this.#check(late));
     }
   }
 
-  #do(type: Command['type'], a: number, b: number): void {
+  #runCommand(type: Command['type'], a: number, b: number): void {
     const { fold } = this.#full;
-    if (type === 'expire') this.#log.expire(KEPT[a] ?? 1);
-    else if (type === 'arrive') this.#late.push(newReader());
+    if (type === 'expire') this.#log.expire(RETAINED_COUNTS[a] ?? 1);
+    else if (type === 'arrive') this.#laggingReaders.push(newReader());
     else if (type === 'claim')
       this.#append({ type, term: fold.term + (a === 0 ? 0 : 1), holder: `h${b}` });
     else if (type === 'batch') this.#append(this.#batch(a, b));
-    else this.#disturb(type);
+    else this.#appendOther(type);
   }
 
-  #disturb(type: 'snapshot' | 'cutShort' | 'stale' | 'repeat' | 'foreign' | 'garbage'): void {
+  #appendOther(type: 'snapshot' | 'cutShort' | 'stale' | 'repeat' | 'foreign' | 'garbage'): void {
     this.#records += 1;
     const id = `s${this.#records}`;
     if (type !== 'snapshot') this.#coverage.hit(type);
@@ -125,13 +126,13 @@
     else this.#write(id, this.#full.fold.toSnapshot(), type === 'cutShort');
   }
 
-  /** A writer that was paused: its state was taken some records ago. */
+  /** Writes the snapshot of a writer that was paused after taking it, some records ago. */
   #writeStale(id: string): void {
-    if (this.#stale) this.#write(id, this.#stale, false);
-    this.#stale = this.#full.fold.toSnapshot();
+    if (this.#staleState) this.#write(id, this.#staleState, false);
+    this.#staleState = this.#full.fold.toSnapshot();
   }
 
-  /** Two parts, so that one of them can be missing; a batch of the holder comes in between. */
+  /** Writes two parts, so that one can be missing, with a batch of the holder in between. */
   #write(id: string, state: ReturnType<ControlFold['toSnapshot']>, cutShort: boolean): void {
     for (const part of splitSnapshot(id, state)) {
       const middle = Math.floor(part.data.length / 2);
@@ -173,31 +174,32 @@
     const { first } = this.#log;
     if (first > late.next && late.reader.lost(first)) this.#coverage.hit('lost');
     for (const entry of this.#log.read(late.next)) {
-      const blind = !late.reader.complete;
+      const wasIncomplete = !late.reader.complete;
       late.reader.take(entry);
-      if (late === this.#full) this.#states.set(entry.offset, plain(late.fold));
-      if (blind && late.reader.complete) this.#coverage.hit('recovered');
+      if (late === this.#full) this.#states.set(entry.offset, canonicalJson(late.fold));
+      if (wasIncomplete && late.reader.complete) this.#coverage.hit('recovered');
       Object.assign(late, { next: entry.offset + 1 });
     }
   }
 
   #check({ reader, fold }: Reader): void {
     if (!reader.complete) return;
-    const got = plain(fold);
-    const wanted = this.#states.get(fold.offset);
-    if (got !== wanted) throw new Error(`a whole reader has ${got}, every record gives ${wanted}`);
+    const actual = canonicalJson(fold);
+    const expected = this.#states.get(fold.offset);
+    if (actual !== expected)
+      throw new Error(`a complete reader has the state ${actual}, all records give ${expected}`);
   }
 }
 
-/** The state as text in which the order of keys does not count. */
-function plain(fold: ControlFold): string {
+/** Returns the state as JSON with sorted keys. */
+function canonicalJson(fold: ControlFold): string {
   return JSON.stringify(
     controlSnapshotSchema.parse(JSON.parse(JSON.stringify(fold.toSnapshot()))),
-    sorted,
+    sortKeys,
   );
 }
 
-function sorted(_key: string, value: unknown): unknown {
+function sortKeys(_key: string, value: unknown): unknown {
   if (typeof value !== 'object' || value === null || Array.isArray(value)) return value;
   return Object.fromEntries(Object.entries(value).sort(([a], [b]) => (a < b ? -1 : 1)));
 }
