--- a/packages/fuzz/src/jobs/downtime-bounds.ts
+++ b/packages/fuzz/src/jobs/downtime-bounds.ts
@@ -5,7 +5,7 @@
   withClockDrift,
 } from '@redwingcrank/runtime/leases';
 
-/** How long the next renewal waits at most until the ends of an answer are stored, in ms. */
+/** How long the renewal after an answer with ends waits at most for them to be stored, in ms. */
 export const ACK_WAIT_MS = 400;
 
 /** The step by which time advances during the recovery phase, in milliseconds. */
--- a/packages/fuzz/src/jobs/recovery-phase.ts
+++ b/packages/fuzz/src/jobs/recovery-phase.ts
@@ -137,7 +137,8 @@
     if (worker && leader.reaches(worker)) {
       this.#world.renew(leader, worker, isAnswerDelivered ? 'answered' : 'unanswered');
     } else {
-      // A renewal that waited for its ends to be stored, or one after a lost one, never arrives.
+      // A pending renewal gets no answer. If none is pending, after ends or a lost renewal, one is
+      // sent that never arrives.
       if (this.#awaitingAck.has(id) || leader.isRenewalLost(id)) leader.renew(id, nowMs);
       leader.renewalLost(id);
     }
--- a/packages/fuzz/src/targets/jobs.ts
+++ b/packages/fuzz/src/targets/jobs.ts
@@ -39,7 +39,7 @@
   b: small,
 });
 
-const ending = fc.record({ loss: fc.constantFrom(...LOSSES), cut: small, lost: small });
+const ending = fc.record({ loss: fc.constantFrom(...LOSSES), cut: small, workerIndex: small });
 
 /** Long enough for takeovers, cuts and lease expiries to follow one another. */
 const COMMANDS = { minLength: 40, maxLength: 160, size: 'max' } as const;
@@ -85,16 +85,20 @@
   ];
 
   property(coverage: Coverage): fc.IRawProperty<unknown> {
-    return fc.property(fc.array(command, COMMANDS), ending, (commands, { loss, cut, lost }) => {
-      const world = new JobsWorld(coverage);
-      const script = new JobsScript(world);
-      for (const { kind, a, b } of commands) {
-        coverage.step();
-        script.run(kind, a, b);
-      }
-      const recovery = new RecoveryPhase(world);
-      recovery.heal(cut);
-      new FinalLoss(world, recovery, lost).run(loss);
-    });
+    return fc.property(
+      fc.array(command, COMMANDS),
+      ending,
+      (commands, { loss, cut, workerIndex }) => {
+        const world = new JobsWorld(coverage);
+        const script = new JobsScript(world);
+        for (const { kind, a, b } of commands) {
+          coverage.step();
+          script.run(kind, a, b);
+        }
+        const recovery = new RecoveryPhase(world);
+        recovery.heal(cut);
+        new FinalLoss(world, recovery, workerIndex).run(loss);
+      },
+    );
   }
 }
--- a/packages/fuzz/src/targets/request-world.ts
+++ b/packages/fuzz/src/targets/request-world.ts
@@ -12,7 +12,7 @@
 
 export const KEYS = ['k1', 'k2', 'k3', 'dc1/k4', 'dc2/k5'] as const;
 
-/** The value of `sameRequest`, drawn from 0 up to this, that sends a key with other content. */
+/** The value of `contentDraw`, drawn from 0 up to this, that sends a key with other content. */
 export const OTHER_CONTENT = 9;
 
 const LIMITS = { windowMs: 600_000, maxDelayMs: 30_000, maxKeys: 2, maxAnswerBytes: 2 };
@@ -110,14 +110,14 @@
   }
 
   /** Sends a key for the first time or again, but never after its window. */
-  #send({ key: index, host, stated, sameRequest }: RequestStep): void {
+  #send({ key: index, host, sendsAge, contentDraw }: RequestStep): void {
     const key = KEYS[index] as string;
     const first = this.#firstSends.get(key) ?? this.#now;
     this.#firstSends.set(key, first);
     const age = this.#now - first;
     if (age > LIMITS.windowMs) return;
-    const ageMs = stated ? Math.floor(age * CALLER_CLOCK_RATE) : undefined;
-    const content = sameRequest === OTHER_CONTENT ? `${key}'` : key;
+    const ageMs = sendsAge ? Math.floor(age * CALLER_CLOCK_RATE) : undefined;
+    const content = contentDraw === OTHER_CONTENT ? `${key}'` : key;
     this.#inFlight.push({ key, content, at: this.#now, ageMs, host });
   }
 
--- a/packages/fuzz/src/targets/requests.ts
+++ b/packages/fuzz/src/targets/requests.ts
@@ -36,8 +36,8 @@
   host: fc.nat(HOSTS.length - 1),
   /** Selects one of the open messages or runs, modulo their number. */
   index: fc.nat(20),
-  stated: fc.boolean(),
-  sameRequest: fc.integer({ min: 0, max: OTHER_CONTENT }),
+  sendsAge: fc.boolean(),
+  contentDraw: fc.integer({ min: 0, max: OTHER_CONTENT }),
   ms: fc.constantFrom(1, 50, 500, 5_000, 29_000, 300_000),
 });
 
