--- a/packages/fuzz/src/jobs/recovery-phase.ts
+++ b/packages/fuzz/src/jobs/recovery-phase.ts
@@ -137,8 +137,9 @@
     if (worker && leader.reaches(worker)) {
       this.#world.renew(leader, worker, isAnswerDelivered ? 'answered' : 'unanswered');
     } else {
-      // A renewal that waited for its ends to be stored, or one after a lost one, never arrives.
-      if (this.#awaitingAck.has(id) || leader.isLost(id)) leader.renew(id, nowMs);
+      // A pending renewal gets no answer. If none is pending, after ends or a lost renewal, one is
+      // sent that never arrives.
+      if (this.#awaitingAck.has(id) || leader.isRenewalLost(id)) leader.renew(id, nowMs);
       leader.renewalLost(id);
     }
     const hasUnacknowledgedEnds = worker?.hasUnacknowledgedEnds ?? false;
