--- a/packages/standins/src/demo-platform.ts
+++ b/packages/standins/src/demo-platform.ts
@@ -7,9 +7,8 @@
 
 const IP = '127.0.0.1';
 
-const DAEMON = createRequire(import.meta.url).resolve('@redwingcrank/daemon');
+const DAEMON_ENTRY = createRequire(import.meta.url).resolve('@redwingcrank/daemon');
 
-/** Two hosts share a rack. */
 const HOSTS_PER_RACK = 2;
 
 export interface DemoOptions {
@@ -20,17 +19,18 @@
   readonly leaseMs: number;
   readonly jobMs: number;
   readonly serviceMs: number;
-  /** Further flags for the workers' process and for each node. */
+  /** Additional flags for each node. */
   readonly nodeFlags?: readonly string[];
+  /** Additional flags for the process of the log. */
   readonly logFlags?: readonly string[];
-  /** What operators must show; none where it is left out. */
+  /** Keys that the nodes' administration listeners accept; without keys they require none. */
   readonly adminKeys?: readonly string[];
 }
 
-/** What the nodes show one another. */
+/** Key with which the nodes authenticate to each other. */
 export const DEMO_PEER_KEY = 'demo-peer-key-0123456789';
 
-/** A node process with the addresses it was told to use. */
+/** A node process with its identity and its assigned ports. */
 export interface DemoNode {
   readonly nodeId: string;
   readonly dataCentre: string;
@@ -49,7 +49,7 @@
   readonly faultPort: number;
 }
 
-/** Stand-ins and nodes as processes of their own, for the demo and for tests of failures. */
+/** Runs the stand-ins and the nodes as separate processes, for the demo and for failure tests. */
 export class DemoPlatform {
   readonly launcher = new Launcher();
 
@@ -57,7 +57,7 @@
 
   readonly workers: DemoWorker[] = [];
 
-  /** The process of each data centre's workers. */
+  /** The worker process of each data centre. */
   readonly workerChildren = new Map<string, Child>();
 
   readonly #options: DemoOptions;
@@ -86,7 +86,7 @@
     return this.#log;
   }
 
-  /** The administration addresses of all nodes. */
+  /** The administration addresses of all nodes, as `ip:port`. */
   get adminAddresses(): string[] {
     return this.nodes.map((node) => `${IP}:${node.adminPort}`);
   }
@@ -98,33 +98,37 @@
   /** Starts the stand-ins, then the nodes. */
   async start(): Promise<void> {
     const { logFlags = [] } = this.#options;
-    const script = ownScript('platform-main.js');
+    const script = scriptPath('platform-main.js');
     this.#log = await this.launcher.start('log', script, ['--serve', 'log', ...logFlags]);
     this.#hostList = await this.launcher.start('host-list', script, ['--serve', 'host-list']);
     for (const dc of this.#options.dataCentres) await this.#startWorkers(dc);
-    for (const dc of this.#options.dataCentres) await this.#planNodes(dc);
+    for (const dc of this.#options.dataCentres) await this.#allocateNodes(dc);
     await Promise.all(this.nodes.map((node) => this.startNode(node)));
   }
 
-  /** Starts a node, also again after it ended. */
+  /** Starts a node, or restarts a node that has exited. */
   async startNode(node: DemoNode): Promise<void> {
-    const started = await this.launcher.start(node.nodeId, daemonScript(), this.#flagsOf(node));
+    const started = await this.launcher.start(node.nodeId, daemonScriptPath(), this.#flagsOf(node));
     Object.assign(node, { child: started });
   }
 
-  /** Ends all: nodes gracefully first, then the stand-ins. Returns the nodes' exit codes. */
+  /**
+   * Stops the nodes gracefully, then kills the stand-ins.
+   *
+   * @returns The nodes' exit codes.
+   */
   async stop(): Promise<(number | null)[]> {
     try {
       return await Promise.all(
         this.nodes.map((node) => node.child && this.launcher.stop(node.child)),
       );
     } finally {
-      // One that does not stop, or never came up, must not keep the whole run waiting for ever.
+      // A child that does not stop or whose start failed would keep this process alive.
       this.launcher.killAll();
     }
   }
 
-  /** Sets the faults of a stand-in over its fault port. */
+  /** Replaces the faults of a stand-in through its fault port. */
   async setFaults(faultUrl: string, faults: object): Promise<void> {
     await post(`${faultUrl}/faults`, faults);
   }
@@ -135,7 +139,7 @@
     const times = ['--job-ms', String(jobMs), '--service-ms', String(serviceMs)];
     const flags = [...ids.flatMap((id) => ['--hosts', id]), ...times];
     const name = `workers-${dataCentre}`;
-    const child = await this.launcher.start(name, ownScript('worker-main.js'), flags);
+    const child = await this.launcher.start(name, scriptPath('worker-main.js'), flags);
     this.workerChildren.set(dataCentre, child);
     const started = child.ready.workers as Omit<DemoWorker, 'dataCentre' | 'rack'>[];
     for (const [i, worker] of started.entries()) {
@@ -145,14 +149,14 @@
     }
   }
 
-  /** Shows a host on the platform's list, which lags. */
+  /** Adds or updates a host on the platform's list; readers see the change after the list's lag. */
   async listHost(worker: DemoWorker, state: 'live' | 'leaving'): Promise<void> {
     const { faultPort: _faultPort, ...host } = worker;
     const { capacity } = this.#options;
     await post(`${this.hostListFaultUrl}/put`, { ...host, capacity, state });
   }
 
-  async #planNodes(dataCentre: string): Promise<void> {
+  async #allocateNodes(dataCentre: string): Promise<void> {
     for (let i = 1; i <= this.#options.nodesPerDataCentre; i += 1) {
       this.nodes.push({
         nodeId: `${dataCentre}-n${i}`,
@@ -191,12 +195,12 @@
   }
 }
 
-function ownScript(name: string): string {
+function scriptPath(name: string): string {
   return fileURLToPath(new URL(name, import.meta.url));
 }
 
-function daemonScript(): string {
-  return fileURLToPath(new URL('main.js', `file://${DAEMON}`));
+function daemonScriptPath(): string {
+  return fileURLToPath(new URL('main.js', `file://${DAEMON_ENTRY}`));
 }
 
 async function post(url: string, body: object): Promise<void> {
--- a/packages/standins/src/fake-endpoint.ts
+++ b/packages/standins/src/fake-endpoint.ts
@@ -5,17 +5,17 @@
   readonly ip: string;
   readonly slots: number;
   readonly connections: number;
-  /** The mean service time; half of it is fixed, the other half drawn, with a long tail. */
+  /** Mean service time in milliseconds; half is fixed, half is exponentially distributed. */
   readonly serviceMs: number;
 }
 
-/** How an instance misbehaves: it answers so many times slower, or never. */
+/** Degradation of an instance: a factor on its service time, or no answers at all. */
 export interface Degradation {
   readonly factor: number;
   readonly silent: boolean;
 }
 
-/** A service instance: so many slots, so many connections, a service time with a tail. */
+/** A service instance with limited slots and connections and a long-tailed service time. */
 export class FakeEndpoint {
   readonly #options: FakeEndpointOptions;
 
@@ -29,7 +29,7 @@
 
   degradation: Degradation = { factor: 1, silent: false };
 
-  /** How often each request ran, by its idempotency key or path. */
+  /** Number of runs of each request, by idempotency key or, without one, by method and path. */
   readonly runs = new Map<string, number>();
 
   constructor(options: FakeEndpointOptions) {
@@ -38,15 +38,19 @@
       this.#serve(req, res).catch(() => res.destroy());
     });
     this.#server.maxConnections = options.connections;
-    this.#server.on('connection', () => this.#countConnections());
+    this.#server.on('connection', () => this.#updateMaxConnections());
   }
 
-  /** The most connections that were open at once. */
+  /** The highest number of connections that were open at the same time. */
   get maxConnections(): number {
     return this.#maxConnections;
   }
 
-  /** @returns Where it listens, as `ip:port`. */
+  /**
+   * Starts the server on a free port.
+   *
+   * @returns The server's address as `ip:port`.
+   */
   listen(): Promise<string> {
     return new Promise((resolve) => {
       this.#server.listen(0, this.#options.ip, () => {
@@ -61,7 +65,7 @@
     this.#server.closeAllConnections();
   }
 
-  #countConnections(): void {
+  #updateMaxConnections(): void {
     this.#server.getConnections((_err, count) => {
       this.#maxConnections = Math.max(this.#maxConnections, count);
     });
@@ -71,8 +75,8 @@
     const chunks: Buffer[] = [];
     for await (const chunk of req as AsyncIterable<Buffer>) chunks.push(chunk);
     await this.#takeSlot();
-    this.#count(req);
-    await this.#work();
+    this.#countRun(req);
+    await this.#simulateService();
     this.#releaseSlot();
     if (this.degradation.silent) return;
     res.setHeader('content-type', 'application/json');
@@ -81,16 +85,16 @@
     );
   }
 
-  #work(): Promise<void> {
+  #simulateService(): Promise<void> {
     const { serviceMs } = this.#options;
-    const drawn = -Math.log(1 - Math.random());
-    const ms = (serviceMs / 2) * (1 + drawn) * this.degradation.factor;
+    const exponential = -Math.log(1 - Math.random());
+    const ms = (serviceMs / 2) * (1 + exponential) * this.degradation.factor;
     return new Promise((resolve) => {
       setTimeout(resolve, ms);
     });
   }
 
-  #count(req: http.IncomingMessage): void {
+  #countRun(req: http.IncomingMessage): void {
     const key = String(req.headers['idempotency-key'] ?? `${req.method} ${req.url}`);
     this.runs.set(key, (this.runs.get(key) ?? 0) + 1);
   }
--- a/packages/standins/src/fake-host-list.ts
+++ b/packages/standins/src/fake-host-list.ts
@@ -1,7 +1,7 @@
 import type { ListedHost } from '@redwingcrank/protocol';
 import type { JsonHandler } from '@redwingcrank/ports';
 
-/** The platform's list of hosts; changes show after a lag. */
+/** The platform's list of hosts; changes become visible after a lag. */
 export class FakeHostList {
   readonly #lagMs: number;
 
@@ -13,22 +13,22 @@
     this.#lagMs = lagMs;
   }
 
-  /** Shows the host in the list after the lag. */
+  /** Adds or updates a host after the lag. */
   put(host: ListedHost): void {
-    this.#later(() => this.#hosts.set(host.hostId, host));
+    this.#applyAfterLag(() => this.#hosts.set(host.hostId, host));
   }
 
-  /** Takes the host off the list after the lag. */
+  /** Removes a host after the lag. */
   remove(hostId: string): void {
-    this.#later(() => this.#hosts.delete(hostId));
+    this.#applyAfterLag(() => this.#hosts.delete(hostId));
   }
 
-  /** Empties the list after the lag, as a platform in trouble may do by mistake. */
+  /** Empties the list after the lag, as a faulty platform may do by mistake. */
   clear(): void {
-    this.#later(() => this.#hosts.clear());
+    this.#applyAfterLag(() => this.#hosts.clear());
   }
 
-  #later(change: () => void): void {
+  #applyAfterLag(change: () => void): void {
     setTimeout(() => {
       change();
       this.#version += 1;
@@ -40,7 +40,7 @@
     body: { hosts: [...this.#hosts.values()], version: this.#version },
   });
 
-  /** Changes the list: POST /put with a host, /remove with its id, /clear. */
+  /** Changes the list: POST /put with a host, /remove with its `hostId`, or /clear. */
   readonly control: JsonHandler = (req) => {
     if (req.url.pathname === '/put') this.put(req.body as ListedHost);
     else if (req.url.pathname === '/remove') this.remove((req.body as ListedHost).hostId);
--- a/packages/standins/src/fake-log.ts
+++ b/packages/standins/src/fake-log.ts
@@ -8,15 +8,15 @@
 }
 
 export interface FakeLogOptions {
-  /** Appends above this rate are refused. */
+  /** Highest rate of appends; appends above it are refused with status 429. */
   readonly appendsPerSecond: number;
-  /** How long records are kept, in milliseconds. */
+  /** Retention time of records, in milliseconds. */
   readonly retentionMs: number;
 }
 
 const SECOND_MS = 1000;
 
-/** The platform's log: streams with offsets, long polls, limited retention, capped appends. */
+/** The platform's log: streams with offsets, long polling, limited retention and append rate. */
 export class FakeLog {
   readonly #options: FakeLogOptions;
 
@@ -46,12 +46,12 @@
   }
 
   #append(name: string, req: JsonRequest): JsonAnswer {
-    if (!this.#admit()) return { status: 429, body: { error: 'too many appends' } };
+    if (!this.#admitAppend()) return { status: 429, body: { error: 'too many appends' } };
     const { record } = req.body as { record: unknown };
     return { status: 200, body: { offset: this.append(name, record) } };
   }
 
-  #admit(): boolean {
+  #admitAppend(): boolean {
     const now = Date.now();
     if (now - this.#windowStart >= SECOND_MS) {
       this.#windowStart = now;
--- a/packages/standins/src/fake-worker.ts
+++ b/packages/standins/src/fake-worker.ts
@@ -15,11 +15,11 @@
 export interface FakeWorkerOptions {
   readonly hostId: string;
   readonly ip: string;
-  /** How long a task of a job runs, in milliseconds. */
+  /** Run time of a job's task, in milliseconds. */
   readonly jobMs: number;
-  /** The service time of an endpoint, in milliseconds. */
+  /** Mean service time of an endpoint, in milliseconds. */
   readonly serviceMs: number;
-  /** How late usage is reported, in milliseconds. */
+  /** Age of reported usage, in milliseconds. */
   readonly usageLagMs: number;
 }
 
@@ -30,16 +30,16 @@
   address?: string;
   checkpoint?: string;
   lostMs?: number;
-  /** On this worker's clock. */
+  /** End of the lease on this worker's monotonic clock, in milliseconds. */
   leaseEnd: number;
-  /** Work done when the newest checkpoint was taken, or when the attempt began. */
+  /** Work done at the newest checkpoint or, without one, at the start of the attempt, in ms. */
   savedMs: number;
   readonly startedAt: number;
   leaseTimer?: NodeJS.Timeout;
   jobTimer?: NodeJS.Timeout;
 }
 
-/** One execution of an attempt, as it was: times are wall-clock milliseconds. */
+/** Record of one execution of an attempt; times are wall-clock milliseconds. */
 export interface Execution {
   readonly taskId: string;
   readonly attempt: number;
@@ -48,15 +48,15 @@
   endedAt?: number;
   outcome?: WorkerTaskState;
   readonly resumedFrom?: string | undefined;
-  /** The work that its checkpoint already held, in milliseconds. */
+  /** Work contained in the checkpoint that the execution resumed from, in milliseconds. */
   readonly resumedMs: number;
-  /** Its newest checkpoint when it ended. */
+  /** The newest checkpoint at the end of the execution. */
   leftCheckpoint?: string | undefined;
 }
 
 const keyOf = (ref: StopMessage): string => `${ref.taskId}#${ref.attempt}`;
 
-/** A worker that knows leases and stop, and nothing of terms or tokens. */
+/** A worker that implements leases and stop requests, but no terms or fencing tokens. */
 export class FakeWorker {
   readonly #options: FakeWorkerOptions;
 
@@ -64,7 +64,7 @@
 
   readonly #attempts = new Map<string, Running>();
 
-  /** Attempts that were stopped before they came: they never start. */
+  /** Attempts whose stop request arrived before their start request; they never start. */
   readonly #tombstones = new Map<string, TaskReport>();
 
   readonly #history: Execution[] = [];
@@ -108,30 +108,30 @@
     };
   }
 
-  /** Ends everything, as a host that dies does. */
+  /** Stops all attempts, as the failure of the host would. */
   kill(): void {
     for (const running of this.#attempts.values()) this.#end(running, 'stopped');
   }
 
-  /** Makes every endpoint here slow or silent. */
+  /** Makes every endpoint of this worker slow or silent. */
   degrade(degradation: Degradation): void {
     for (const { endpoint } of this.#attempts.values()) {
       if (endpoint) endpoint.degradation = degradation;
     }
   }
 
-  /** The most connections that any endpoint here had at once. */
+  /** Returns the highest number of simultaneous connections of any endpoint of this worker. */
   maxConnections(): number {
     const counts = [...this.#attempts.values()].map((r) => r.endpoint?.maxConnections ?? 0);
     return Math.max(0, ...counts);
   }
 
-  /** What was executed here, in the order of the starts. */
+  /** Returns the executions on this worker in the order of their starts. */
   history(): readonly Execution[] {
     return this.#history;
   }
 
-  /** How often each request ran on the endpoints here. */
+  /** Returns the number of runs of each request on the endpoints of this worker. */
   runs(): Record<string, number> {
     const total: Record<string, number> = {};
     for (const { endpoint } of this.#attempts.values()) {
@@ -162,8 +162,8 @@
       }
       return;
     }
-    // A start that was under way for longer than its lease, or across a restart, is refused: the
-    // task may long be running elsewhere.
+    // Refuses a start request that was in flight for longer than its lease or across a restart of
+    // this worker: the task may already be running elsewhere.
     const leaseEnd = message.heartbeat + message.leaseMs;
     if (message.incarnation !== this.#incarnation || leaseEnd <= performance.now()) return;
     const savedMs = progressOf(message.checkpoint);
@@ -184,8 +184,8 @@
   }
 
   #runJob(running: Running): void {
-    const leftMs = Math.max(0, this.#options.jobMs - running.savedMs);
-    const timer = setTimeout(() => this.#end(running, 'completed'), leftMs);
+    const remainingMs = Math.max(0, this.#options.jobMs - running.savedMs);
+    const timer = setTimeout(() => this.#end(running, 'completed'), remainingMs);
     Object.assign(running, { jobTimer: timer });
   }
 
@@ -204,14 +204,17 @@
     }
   }
 
-  /** The lease counts from the heartbeat, so a message that was late extends little or nothing. */
+  /**
+   * Extends the lease. The lease counts from the heartbeat, so a delayed message extends it by
+   * less or not at all.
+   */
   #extend(running: Running, heartbeat: number, leaseMs: number): void {
     if (running.state !== 'running') return;
-    // An older message that overtook a newer one must not shorten the lease.
+    // An older message that arrives after a newer one must not shorten the lease.
     Object.assign(running, { leaseEnd: Math.max(running.leaseEnd, heartbeat + leaseMs) });
-    const left = running.leaseEnd - performance.now();
+    const remainingMs = running.leaseEnd - performance.now();
     clearTimeout(running.leaseTimer);
-    const timer = setTimeout(() => this.#end(running, 'lapsed'), Math.max(0, left));
+    const timer = setTimeout(() => this.#end(running, 'lapsed'), Math.max(0, remainingMs));
     Object.assign(running, { leaseTimer: timer });
   }
 
@@ -226,7 +229,7 @@
     const running = this.#attempts.get(keyOf(message));
     if (running?.state !== 'running') return;
     const savedMs = workedMs(running);
-    // The stand-in keeps no files: what a checkpoint holds stands in its name.
+    // The stand-in stores no files: the name of a checkpoint encodes the work done.
     Object.assign(running, { savedMs, checkpoint: `${randomUUID()}@${Math.round(savedMs)}` });
   }
 
@@ -245,7 +248,7 @@
   }
 }
 
-/** The work that the attempt and those before it have done, in milliseconds. */
+/** Returns the work done by the attempt and the earlier attempts it resumed, in milliseconds. */
 function workedMs({ message, startedAt }: Running): number {
   return progressOf(message.checkpoint) + performance.now() - startedAt;
 }
--- a/packages/standins/src/fault-gate.ts
+++ b/packages/standins/src/fault-gate.ts
@@ -3,13 +3,13 @@
 import { JsonListener } from '@redwingcrank/ports';
 
 const faultsSchema = z.strictObject({
-  /** Every call waits this long first. */
+  /** Delay before each call, in milliseconds. */
   delayMs: z.number().min(0).default(0),
-  /** So many calls take effect but lose their answer. */
+  /** Number of calls that take effect but get no answer. */
   dropAnswers: z.int().min(0).default(0),
-  /** Calls are refused before they take effect. */
+  /** Whether calls are refused before they take effect. */
   refuse: z.boolean().default(false),
-  /** Calls are neither answered nor take effect. */
+  /** Whether calls neither take effect nor get an answer. */
   freeze: z.boolean().default(false),
 });
 
@@ -17,43 +17,47 @@
 
 const FAULT_BODY_LIMIT = 10_000;
 
-const UNAVAILABLE: JsonAnswer = { status: 503, body: { error: 'refused by the fault port' } };
+const REFUSAL: JsonAnswer = { status: 503, body: { error: 'refused by the fault port' } };
 
-/** Never settles: the caller has to give up by itself. */
-const SILENCE = new Promise<JsonAnswer>(() => {});
+/** Never resolves, so that the caller runs into its timeout. */
+const NO_ANSWER = new Promise<JsonAnswer>(() => {});
 
-/** Puts faults between a stand-in's handler and its callers; set over a port of its own. */
+/** Injects faults between a stand-in's handler and its callers; a separate port sets the faults. */
 export class FaultGate {
   #faults: Faults = faultsSchema.parse({});
 
-  #port: JsonListener | undefined;
+  #listener: JsonListener | undefined;
 
   set(faults: Partial<Faults>): void {
     this.#faults = faultsSchema.parse(faults);
   }
 
-  /** Wraps a handler, so that the faults apply to it. */
+  /** Wraps a handler so that the faults apply to its calls. */
   guard(handler: JsonHandler): JsonHandler {
     return async (req) => {
       const faults = this.#faults;
       if (faults.delayMs > 0) await sleep(faults.delayMs);
-      if (faults.freeze) return SILENCE;
-      if (faults.refuse) return UNAVAILABLE;
+      if (faults.freeze) return NO_ANSWER;
+      if (faults.refuse) return REFUSAL;
       const answer = await handler(req);
       if (this.#faults.dropAnswers === 0) return answer;
       this.#faults = { ...this.#faults, dropAnswers: this.#faults.dropAnswers - 1 };
-      return SILENCE;
+      return NO_ANSWER;
     };
   }
 
-  /** Opens the fault port: POST /faults replaces the faults; other requests go to `extra`. */
+  /**
+   * Opens the fault port: POST /faults replaces the faults; other requests go to `extra`.
+   *
+   * @returns The fault port.
+   */
   async listen(ip: string, extra?: JsonHandler): Promise<number> {
-    this.#port = new JsonListener((req) => this.#serve(req, extra), FAULT_BODY_LIMIT);
-    return this.#port.listen(0, ip);
+    this.#listener = new JsonListener((req) => this.#serve(req, extra), FAULT_BODY_LIMIT);
+    return this.#listener.listen(0, ip);
   }
 
   async close(): Promise<void> {
-    await this.#port?.close();
+    await this.#listener?.close();
   }
 
   #serve(req: JsonRequest, extra: JsonHandler | undefined): Promise<JsonAnswer> | JsonAnswer {
--- a/packages/standins/src/free-ports.ts
+++ b/packages/standins/src/free-ports.ts
@@ -2,18 +2,19 @@
 import { createServer } from 'node:net';
 
 /**
- * Below the range from which outgoing connections take their ports, so that a port which was
- * found free is not taken by a connection before its owner starts.
+ * The first port of the first slice. All slices are below the range of ephemeral ports, so that no
+ * outgoing connection takes a free port before the process that it is meant for listens on it.
  */
 const LOWEST_PORT = 20_000;
-const SLICES = 200;
-const SLICE_PORTS = 50;
+const SLICE_COUNT = 200;
+const PORTS_PER_SLICE = 50;
 
-/** The first port of this process's slice, and the next one to give out. */
+/** The first port of this process's slice. */
 let slice: Promise<number> | undefined;
-let given = 0;
+/** Offset in the slice of the port that was tried last. */
+let lastOffset = 0;
 
-/** Listens on a port; resolves to false where somebody else does. */
+/** Tries to listen on a port; resolves to false if the port is in use. */
 function tryListen(port: number, keep: boolean): Promise<boolean> {
   return new Promise((resolve) => {
     const server = createServer();
@@ -28,30 +29,32 @@
 }
 
 /**
- * Takes a slice of ports by listening on its first one until this process ends. Test files that
- * run side by side would otherwise find the same port free, and one of their nodes could not
+ * Reserves a slice of ports by listening on its first port until this process exits. Test files
+ * that run in parallel would otherwise find the same port free, and one of their nodes could not
  * start.
+ *
+ * @throws Error if all slices are in use.
  */
-async function takeSlice(): Promise<number> {
-  const wish = randomInt(SLICES);
-  for (let i = 0; i < SLICES; i += 1) {
-    const first = LOWEST_PORT + ((wish + i) % SLICES) * SLICE_PORTS;
+async function reserveSlice(): Promise<number> {
+  const startIndex = randomInt(SLICE_COUNT);
+  for (let i = 0; i < SLICE_COUNT; i += 1) {
+    const first = LOWEST_PORT + ((startIndex + i) % SLICE_COUNT) * PORTS_PER_SLICE;
     if (await tryListen(first, true)) return first;
   }
-  throw new Error('every slice of ports is taken');
+  throw new Error('all slices of ports are in use');
 }
 
-/** Finds a port that nobody uses, and never gives the same one twice. */
+/** Finds a free port; never returns the same port twice. */
 export async function freePort(): Promise<number> {
-  slice ??= takeSlice();
+  slice ??= reserveSlice();
   const first = await slice;
-  while (given + 1 < SLICE_PORTS) {
-    given += 1;
-    const port = first + given;
+  while (lastOffset + 1 < PORTS_PER_SLICE) {
+    lastOffset += 1;
+    const port = first + lastOffset;
     if (await tryListen(port, false)) return port;
   }
-  // A measurement starts one platform after another: it goes on with another slice.
+  // A measurement starts many platforms in sequence and may need more than one slice.
   slice = undefined;
-  given = 0;
+  lastOffset = 0;
   return freePort();
 }
--- a/packages/standins/src/launcher.ts
+++ b/packages/standins/src/launcher.ts
@@ -2,19 +2,19 @@
 import { spawn } from 'node:child_process';
 import { createInterface } from 'node:readline';
 
-/** A process that was started, and the first line it printed, parsed. */
+/** A started process with the parsed first line of its output. */
 export interface Child {
   readonly name: string;
   readonly process: ChildProcess;
   readonly ready: Record<string, unknown>;
-  /** The lines printed so far. */
+  /** All lines that the process has printed. */
   readonly lines: string[];
 }
 
-const START_LIMIT_MS = 20_000;
-const STOP_LIMIT_MS = 15_000;
+const START_TIMEOUT_MS = 20_000;
+const STOP_TIMEOUT_MS = 15_000;
 
-/** Starts processes and ends every one of them, also when it is interrupted itself. */
+/** Starts child processes and kills the remaining ones when this process exits. */
 export class Launcher {
   readonly #children = new Set<ChildProcess>();
 
@@ -23,10 +23,10 @@
   }
 
   /**
-   * Starts a Node program whose first line of output is JSON. It gets the Node flags of this
-   * process, so that a profile of the whole takes one flag.
+   * Starts a Node program whose first line of output is JSON. The program inherits this process's
+   * Node flags, so that one flag profiles all processes.
    *
-   * @throws Error where the line does not come in time.
+   * @throws Error if the process exits first or prints no line within 20 s.
    */
   async start(name: string, script: string, args: readonly string[]): Promise<Child> {
     const child = spawn(process.execPath, [...process.execArgv, script, ...args], {
@@ -37,26 +37,36 @@
     const lines: string[] = [];
     const reader = createInterface({ input: child.stdout });
     const first = await new Promise<string>((resolve, reject) => {
-      const timer = setTimeout(() => reject(new Error(`${name} did not start`)), START_LIMIT_MS);
+      const timer = setTimeout(
+        () => reject(new Error(`${name} printed no first line in time`)),
+        START_TIMEOUT_MS,
+      );
       reader.on('line', (line) => {
         lines.push(line);
         clearTimeout(timer);
         resolve(line);
       });
-      child.once('exit', (code) => reject(new Error(`${name} ended at its start: ${code}`)));
+      child.once('exit', (code) =>
+        reject(new Error(`${name} exited during startup with code ${code}`)),
+      );
     });
     const ready = JSON.parse(first) as Record<string, unknown>;
     return { name, process: child, ready, lines };
   }
 
-  /** Asks a child to end, and returns its exit code once it has. */
+  /**
+   * Sends a signal to a child and waits for its exit.
+   *
+   * @returns The exit code, or null if a signal ended the child.
+   * @throws Error if the child is still running after 15 s.
+   */
   async stop(child: Child, signal: NodeJS.Signals = 'SIGTERM'): Promise<number | null> {
     const { process: proc } = child;
     if (proc.exitCode !== null || proc.signalCode !== null) return proc.exitCode;
     return new Promise((resolve, reject) => {
       const timer = setTimeout(
-        () => reject(new Error(`${child.name} did not stop`)),
-        STOP_LIMIT_MS,
+        () => reject(new Error(`${child.name} did not exit in time after the signal`)),
+        STOP_TIMEOUT_MS,
       );
       proc.once('exit', (code) => {
         clearTimeout(timer);
@@ -66,7 +76,7 @@
     });
   }
 
-  /** Ends whatever still runs, also what a failed start left behind. */
+  /** Kills all children that are still running, including those whose start failed. */
   killAll(): void {
     for (const child of this.#children) child.kill('SIGKILL');
   }
--- a/packages/standins/src/restartable-worker.ts
+++ b/packages/standins/src/restartable-worker.ts
@@ -1,11 +1,11 @@
 import type { Execution, FakeWorkerOptions } from './fake-worker.js';
 import { FakeWorker } from './fake-worker.js';
 
-/** A host whose worker can be restarted: its tasks end, its memory is gone, its address stays. */
+/** A host whose worker can be restarted: its tasks end, its state is lost, its address stays. */
 export class RestartableWorker {
   readonly #options: FakeWorkerOptions;
 
-  readonly #past: Execution[] = [];
+  readonly #earlierExecutions: Execution[] = [];
 
   worker: FakeWorker;
 
@@ -16,12 +16,12 @@
 
   restart(): void {
     this.worker.kill();
-    this.#past.push(...this.worker.history());
+    this.#earlierExecutions.push(...this.worker.history());
     this.worker = new FakeWorker(this.#options);
   }
 
-  /** What was executed on this host, by every worker there was. */
+  /** Returns the executions on this host, including those of earlier workers. */
   history(): Execution[] {
-    return [...this.#past, ...this.worker.history()];
+    return [...this.#earlierExecutions, ...this.worker.history()];
   }
 }
--- a/packages/standins/src/test/running-platform.ts
+++ b/packages/standins/src/test/running-platform.ts
@@ -7,21 +7,21 @@
 import { DemoPlatform } from '../demo-platform.js';
 import { waitFor } from '../wait-for.js';
 
-/** Generous: the machine may be busy, and no test may hope for a quick one. */
+/** Timeout of waits; long, because tests must also pass on a busy machine. */
 export const WAIT_MS = 40_000;
 
-const ENDPOINTS = 8;
+const ENDPOINT_COUNT = 8;
 
-const DEMO = new URL('../../../../examples/demo.json', import.meta.url);
+const DEMO_MANIFEST = new URL('../../../../examples/demo.json', import.meta.url);
 
-/** The demo's manifest under another version. */
+/** Returns the demo's manifest with the given versions. */
 export async function demoManifest(version = 1, replaces = version - 1): Promise<Manifest> {
-  const reading = readManifest(JSON.parse(await readFile(DEMO, 'utf8')));
-  assert.ok(reading.ok);
-  return { ...reading.manifest, version, replaces };
+  const result = readManifest(JSON.parse(await readFile(DEMO_MANIFEST, 'utf8')));
+  assert.ok(result.ok);
+  return { ...result.manifest, version, replaces };
 }
 
-/** Publishes as an operator does, and waits until every node reports it in force. */
+/** Publishes a manifest through the CLI and waits until every node reports it in force. */
 export async function publishTo(platform: DemoPlatform, manifest: Manifest): Promise<void> {
   const nodes = clientsOf(platform);
   const out = new Output(true);
@@ -36,7 +36,7 @@
   return new AdminClient(`127.0.0.1:${node.adminPort}`);
 }
 
-/** Two data centres with the demo's manifest in force and its services running. */
+/** Starts two data centres with the demo's manifest in force and its services running. */
 export async function runningPlatform(
   options: {
     nodeFlags?: string[];
@@ -59,12 +59,12 @@
   await publishTo(platform, await demoManifest());
   await waitFor('the endpoints', WAIT_MS, async () => {
     const tasks = await Promise.all(clientsOf(platform).map((node) => node.tasks()));
-    return tasks.flat().filter((t) => t.endpoint !== undefined).length === ENDPOINTS;
+    return tasks.flat().filter((t) => t.endpoint !== undefined).length === ENDPOINT_COUNT;
   });
   return platform;
 }
 
-/** The status of a check sent through a node; undefined where the connection failed. */
+/** Sends a check through a node; resolves to the status, or undefined if the connection failed. */
 export async function check(platform: DemoPlatform, node: DemoNode): Promise<number | undefined> {
   try {
     const res = await fetch(`${platform.callerUrl(node)}/booking/check?window=1`);
--- a/packages/standins/src/wait-for.ts
+++ b/packages/standins/src/wait-for.ts
@@ -1,20 +1,20 @@
-const POLL_MS = 50;
+const POLL_INTERVAL_MS = 50;
 
 /**
- * Asks again and again until the condition holds.
+ * Polls a condition until it holds.
  *
- * @throws Error that names `what` where it does not hold in time.
+ * @throws Error that contains `description` if the condition does not hold within `timeoutMs`.
  */
 export async function waitFor(
-  what: string,
-  limitMs: number,
+  description: string,
+  timeoutMs: number,
   condition: () => Promise<boolean> | boolean,
 ): Promise<void> {
-  const end = performance.now() + limitMs;
+  const end = performance.now() + timeoutMs;
   while (!(await condition())) {
-    if (performance.now() > end) throw new Error(`gave up waiting for ${what}`);
+    if (performance.now() > end) throw new Error(`timed out waiting for ${description}`);
     await new Promise((resolve) => {
-      setTimeout(resolve, POLL_MS);
+      setTimeout(resolve, POLL_INTERVAL_MS);
     });
   }
 }
--- a/packages/standins/src/worker-main.ts
+++ b/packages/standins/src/worker-main.ts
@@ -17,8 +17,8 @@
   .strict()
   .parse();
 
-/** What the fault port offers besides faults. */
-function inspect(host: RestartableWorker, req: JsonRequest): JsonAnswer {
+/** Handles requests to the fault port other than /faults: inspection, restart and degradation. */
+function handleControl(host: RestartableWorker, req: JsonRequest): JsonAnswer {
   const { worker } = host;
   if (req.url.pathname === '/history') return { status: 200, body: host.history() };
   if (req.url.pathname === '/restart') {
@@ -42,7 +42,7 @@
     BODY_LIMIT,
   );
   const port = await listener.listen(0, args.ip);
-  const faultPort = await gate.listen(args.ip, (req) => inspect(host, req));
+  const faultPort = await gate.listen(args.ip, (req) => handleControl(host, req));
   workers.push({ hostId, address: `${args.ip}:${port}`, faultPort });
 }
 process.stdout.write(`${JSON.stringify({ workers })}\n`);
