--- a/packages/standins/src/test/admin-api_test.ts
+++ b/packages/standins/src/test/admin-api_test.ts
@@ -6,7 +6,7 @@
 import { ADMIN_ROUTES, adminProblemSchema, readManifest } from '@redwingcrank/protocol';
 import { DemoPlatform, waitFor } from '../index.js';
 
-const WAIT_MS = 30_000;
+const WAIT_TIMEOUT_MS = 30_000;
 const NEW_KEY = 'the-new-key-of-operators';
 const OLD_KEY = 'the-old-key-of-operators';
 
@@ -55,8 +55,8 @@
   const nodes = platform.adminAddresses.map((address) => new AdminClient(address, [NEW_KEY]));
   const { manifest } = reading;
   const out = new Output(true);
-  await publish({ manifest, logUrl: platform.logUrl, nodes, waitMs: WAIT_MS, out });
-  await waitFor('the small tasks to run', WAIT_MS, async () => {
+  await publish({ manifest, logUrl: platform.logUrl, nodes, waitMs: WAIT_TIMEOUT_MS, out });
+  await waitFor('the small tasks to run', WAIT_TIMEOUT_MS, async () => {
     const tasks = await nodes[0]?.tasks();
     return tasks?.filter((task) => task.state === 'running').length === 5;
   });
@@ -64,7 +64,7 @@
 
 after(() => platform.stop());
 
-test('every answer is what the description says, no more and no less', async () => {
+test('every answer of the administration API matches its schema without extra or missing fields', async () => {
   const queries: Partial<Record<AdminRouteName, string>> = { why: '?task=dc1/giant/0' };
   for (const [name, route] of Object.entries(ADMIN_ROUTES)) {
     const answer = await getJson(route.path + (queries[name as AdminRouteName] ?? ''));
@@ -73,37 +73,37 @@
   }
 });
 
-test('pages hold every item once, in order, and stay within their limit', async () => {
-  const seen: string[] = [];
+test('paging returns every item once, in order and within the limit; filters select events', async () => {
+  const taskIds: string[] = [];
   let cursor: unknown = '';
   while (cursor !== null) {
     const page = await getJson(`/v1/tasks?limit=2&cursor=${encodeURIComponent(String(cursor))}`);
     const tasks = page.tasks as { taskId: string }[];
     assert.ok(tasks.length <= 2);
-    seen.push(...tasks.map(({ taskId }) => taskId));
+    taskIds.push(...tasks.map(({ taskId }) => taskId));
     cursor = page.next;
   }
   assert.deepEqual(
-    seen,
+    taskIds,
     [0, 1, 2, 3, 4].map((i) => `dc1/small/${i}`),
   );
   const filtered = await getJson('/v1/events?kind=attempt-running&task=dc1/small/3');
   assert.equal((filtered.events as unknown[]).length, 1);
 });
 
-test('why names the reason of a task that runs, of one that never can, and of none', async () => {
+test('why gives reasons for tasks that run, never fit, are unknown or are of another data centre', async () => {
   const reasonsOf = async (task: string): Promise<string[]> => {
     const { reasons } = await getJson(`/v1/why?task=${task}`);
     return (reasons as { reason: string }[]).map(({ reason }) => reason);
   };
   assert.deepEqual(await reasonsOf('dc1/small/0'), ['wanted', 'running']);
-  const waits = ['wanted', 'never-fits', 'hosts', 'quota-use', 'order'];
-  assert.deepEqual(await reasonsOf('dc1/giant/0'), waits);
+  const waitReasons = ['wanted', 'never-fits', 'hosts', 'quota-use', 'order'];
+  assert.deepEqual(await reasonsOf('dc1/giant/0'), waitReasons);
   assert.deepEqual(await reasonsOf('dc1/small/9'), ['not-in-manifest']);
   assert.deepEqual(await reasonsOf('dc9/small/0'), ['other-data-centre']);
 });
 
-test('a malformed question, a wrong path, a write and a wrong key are refused by number', async () => {
+test('malformed queries, unknown paths, writes and wrong keys are refused with their error codes', async () => {
   const refusals: [Response, number, number][] = [
     [await get('/v1/tasks?limit=0'), 400, 104],
     [await get('/v1/tasks?limit=99999'), 400, 104],
@@ -119,7 +119,7 @@
   }
 });
 
-test('probes and metrics need no key, and tell of the event loop and of garbage collection', async () => {
+test('probes and metrics need no key; metrics include the event loop and garbage collection', async () => {
   assert.equal((await get('/healthz', null)).status, 200);
   assert.equal((await get('/readyz', null)).status, 200);
   const metrics = await (await get('/metrics', null)).text();
@@ -130,7 +130,7 @@
   assert.match(metrics, /redwingcrank_events_total\{event="manifest-in-force"\} 1\n/);
 });
 
-test('a key is rotated without a gap: old and new are accepted meanwhile', async () => {
+test('the old and the new key are both accepted during a key rotation', async () => {
   assert.equal((await get('/v1/status', OLD_KEY)).status, 200);
   assert.equal((await get('/v1/status', NEW_KEY)).status, 200);
 });
--- a/packages/standins/src/test/free-ports_test.ts
+++ b/packages/standins/src/test/free-ports_test.ts
@@ -2,10 +2,10 @@
 import { test } from 'node:test';
 import { freePort } from '../free-ports.js';
 
-const PORTS = 120;
+const PORT_COUNT = 120;
 
-test('a process that needs more ports than a slice holds gets them, all different', async () => {
+test('a process gets distinct ports when it needs more than one slice', async () => {
   const ports = new Set<number>();
-  for (let i = 0; i < PORTS; i += 1) ports.add(await freePort());
-  assert.equal(ports.size, PORTS);
+  for (let i = 0; i < PORT_COUNT; i += 1) ports.add(await freePort());
+  assert.equal(ports.size, PORT_COUNT);
 });
--- a/packages/standins/src/test/handover_test.ts
+++ b/packages/standins/src/test/handover_test.ts
@@ -5,13 +5,13 @@
 import { WAIT_MS, check, clientOf, runningPlatform } from './running-platform.js';
 
 const ROUNDS = 3;
-const CHECK_EVERY_MS = 5;
-const ENOUGH = 50;
+const CHECK_INTERVAL_MS = 5;
+const MIN_REQUESTS = 50;
 
 let platform: DemoPlatform;
 
 before(async () => {
-  // Silence alone would not bring the next term within the test.
+  // Prevents a claim because of peer silence: only the handover can start the next term in time.
   platform = await runningPlatform({ nodeFlags: ['--peer-silence-ms', '120000'] });
 });
 
@@ -29,31 +29,31 @@
   return holder?.startsWith(`${a.nodeId}/`) ? [a, b] : [b, a];
 }
 
-/** Each attempt: one that was lost shows up as lapsed, or as another attempt. */
-async function attemptsSeen(node: DemoNode): Promise<string[]> {
+/** Describes each task's attempt; a lost attempt shows as a failed outcome or as a new attempt. */
+async function attemptsOn(node: DemoNode): Promise<string[]> {
   const tasks = await clientOf(node).tasks();
-  const fine = (outcome: string | undefined) => outcome === undefined || outcome === 'completed';
+  const isFine = (outcome: string | undefined) => outcome === undefined || outcome === 'completed';
   return tasks
-    .map((t) => `${t.taskId}#${t.attempt} ${fine(t.outcome) ? 'fine' : t.outcome}`)
+    .map((t) => `${t.taskId}#${t.attempt} ${isFine(t.outcome) ? 'fine' : t.outcome}`)
     .sort();
 }
 
 interface Load {
   readonly sends: readonly Promise<number | undefined>[];
-  /** From now on only the other node is sent to, as by a balancer that knows. */
-  leaveHolder(): void;
+  /** Sends further requests only to the other node, as a load balancer would. */
+  excludeHolder(): void;
   stop(): Promise<(number | undefined)[]>;
 }
 
 function loadOn(holder: DemoNode, other: DemoNode): Load {
   const sends: Promise<number | undefined>[] = [];
-  const to = new Set([holder, other]);
+  const targets = new Set([holder, other]);
   const timer = setInterval(() => {
-    for (const node of to) sends.push(check(platform, node));
-  }, CHECK_EVERY_MS);
+    for (const node of targets) sends.push(check(platform, node));
+  }, CHECK_INTERVAL_MS);
   return {
     sends,
-    leaveHolder: () => to.delete(holder),
+    excludeHolder: () => targets.delete(holder),
     stop: () => {
       clearInterval(timer);
       return Promise.all(sends);
@@ -61,21 +61,21 @@
   };
 }
 
-test('the holder of the term shuts down under load: handed over, nothing cut off, no lease lapses', async () => {
-  // The node that decides for dc1 gets SIGTERM while it serves and while the other one serves.
-  // Its peer claims the next term because it was told, not because of silence, and renews every
-  // lease. Requests that were open are answered; a refused
-  // connection afterwards is the balancer's matter. It is repeated with each node in turn.
+test('a holder that shuts down under load hands over its term without failed requests or expired leases', async () => {
+  // The holder of dc1's term gets SIGTERM while both nodes serve requests. Its peer must claim the
+  // next term because of the handover, not after peer silence, and renew every lease. Requests in
+  // flight must be answered; connections that are refused afterwards are left to the load balancer.
+  // Each round shuts down the current holder, so the two nodes alternate.
   for (let round = 1; round <= ROUNDS; round += 1) {
     const [holder, other] = await holderAndOther();
     const { term } = await clientOf(other).status();
-    const tasks = await attemptsSeen(other);
+    const tasks = await attemptsOn(other);
     const load = loadOn(holder, other);
-    await waitFor('some load', WAIT_MS, () => load.sends.length > ENOUGH);
+    await waitFor('enough requests to be sent', WAIT_MS, () => load.sends.length > MIN_REQUESTS);
     const exit = platform.launcher.stop(holder.child);
-    load.leaveHolder();
+    load.excludeHolder();
     const startedAt = performance.now();
-    await waitFor('the next term', WAIT_MS, async () => {
+    await waitFor('the next term to start', WAIT_MS, async () => {
       const status = await clientOf(other).status();
       return status.term > term && status.holder?.startsWith(`${other.nodeId}/`) === true;
     });
@@ -83,10 +83,10 @@
     assert.equal(await exit, 0);
     const statuses = await load.stop();
     assert.deepEqual([...new Set(statuses)], [200], `round ${round}`);
-    assert.deepEqual(await attemptsSeen(other), tasks);
+    assert.deepEqual(await attemptsOn(other), tasks);
     process.stdout.write(`# round ${round}: next term after ${handoverMs} ms\n`);
     await platform.startNode(holder);
-    await waitFor('the node again', WAIT_MS, async () => {
+    await waitFor('the restarted node to be ready', WAIT_MS, async () => {
       const { state } = await clientOf(holder).status();
       return state === 'ready';
     });
--- a/packages/standins/src/test/key-home_test.ts
+++ b/packages/standins/src/test/key-home_test.ts
@@ -19,14 +19,14 @@
   await platform.stop();
 });
 
-interface Told {
+interface HoldResult {
   readonly status: number | undefined;
   readonly outcome: string | undefined;
   readonly body: string;
 }
 
-/** Sends a hold; no status where the connection was lost. */
-async function hold(node: DemoNode, key: string): Promise<Told> {
+/** Sends a hold; the status is undefined if the connection was lost. */
+async function hold(node: DemoNode, key: string): Promise<HoldResult> {
   const init = { method: 'POST', body: key, headers: { 'idempotency-key': key } };
   try {
     const res = await fetch(`${platform.callerUrl(node)}/booking/hold`, init);
@@ -38,7 +38,7 @@
   }
 }
 
-/** How often a key ran, over all endpoints. */
+/** Returns the number of runs of a key on all endpoints. */
 async function runsOf(key: string): Promise<number> {
   const counts = await Promise.all(
     platform.workers.map(async ({ faultPort }) => {
@@ -49,7 +49,7 @@
   return counts.reduce((a, b) => a + b, 0);
 }
 
-/** Keys whose home is the node, among all entry hosts. */
+/** Generates keys whose home, among all entry hosts, is the node. */
 function* keysOf(node: DemoNode, prefix: string): Generator<string> {
   for (let i = 0; ; i += 1) {
     const key = `${prefix}-${i}`;
@@ -57,7 +57,7 @@
   }
 }
 
-function take(keys: Generator<string>, count: number): string[] {
+function takeKeys(keys: Generator<string>, count: number): string[] {
   return Array.from({ length: count }, () => String(keys.next().value));
 }
 
@@ -65,26 +65,28 @@
   return platform.nodes as [DemoNode, DemoNode, DemoNode, DemoNode];
 }
 
-test('the same key at every entry host runs once, and all callers get its answer', async () => {
-  // Callers lose patience and send the same hold through other entry hosts, two of them in
-  // another data centre, while the first is still running. One run, and its answer for each.
+test('a key that is sent to every entry host runs once, and all callers get its answer', async () => {
+  // Callers time out and retry a hold through other entry hosts, two of them in another data
+  // centre, while the first request is still running. The key must run once, and every caller must
+  // get the answer of that run.
   const key = 'everywhere';
-  const told = await Promise.all(platform.nodes.map((node) => hold(node, key)));
-  for (const { status, body } of told) {
+  const results = await Promise.all(platform.nodes.map((node) => hold(node, key)));
+  for (const { status, body } of results) {
     assert.equal(status, 200);
     assert.equal((JSON.parse(body) as { echo: string }).echo, key);
   }
   assert.equal(await runsOf(key), 1);
 });
 
-test("a frozen home: repeats elsewhere are told unknown, and the key's run stays the only one", async () => {
-  // The home stops (SIGSTOP) while it runs holds. Callers send them again through other hosts;
-  // nobody can know what the home did, so they are told `unknown`, and it never runs elsewhere.
-  // Awake again (SIGCONT), the home still knows the keys: it ran each once, and gives the answers.
+test('while the home of a key is frozen, retries get the outcome unknown and the key runs only once', async () => {
+  // The home is frozen (SIGSTOP) while it runs holds, and callers retry them through another host.
+  // No other host can know whether the home ran a key, so retries get the outcome `unknown` and the
+  // key must not run elsewhere. After SIGCONT the home still knows the keys: it ran each of them
+  // once and answers the retries.
   const [home, other] = fourNodes();
-  const keys = take(keysOf(home, 'frozen'), 6);
+  const keys = takeKeys(keysOf(home, 'frozen'), 6);
   const first = keys.map((key) => hold(other, key));
-  await waitFor('the runs', WAIT_MS, async () => {
+  await waitFor('every key to run once', WAIT_MS, async () => {
     const runs = await Promise.all(keys.map(runsOf));
     return runs.every((count) => count === 1);
   });
@@ -93,10 +95,10 @@
     for (const { outcome } of await Promise.all(keys.map((key) => hold(other, key)))) {
       assert.equal(outcome, 'unknown');
     }
-    // Once it counts as silent, its keys are refused at once, and still run nowhere else.
+    // When the home counts as silent, its keys are refused immediately and still run nowhere else.
     await waitFor('the home to count as silent', WAIT_MS, async () => {
-      const told = await Promise.all(keys.map((key) => hold(other, key)));
-      return told.every(({ body }) => body.includes('"code":312'));
+      const results = await Promise.all(keys.map((key) => hold(other, key)));
+      return results.every(({ body }) => body.includes('"code":312'));
     });
     for (const key of keys) assert.equal(await runsOf(key), 1);
   } finally {
@@ -104,20 +106,21 @@
   }
   await Promise.all(first);
   await waitFor('the home to answer again', WAIT_MS, async () => {
-    const told = await Promise.all(keys.map((key) => hold(other, key)));
-    return told.every(({ status }) => status === 200 || status === 502);
+    const results = await Promise.all(keys.map((key) => hold(other, key)));
+    return results.every(({ status }) => status === 200 || status === 502);
   });
   for (const key of keys) assert.equal(await runsOf(key), 1);
 });
 
-test('a killed home: its keys run nowhere else, also when it is back without its memory', async () => {
-  // The home dies (SIGKILL) with holds at their endpoints, and its memory dies with it. Callers
-  // send them again through every other host: `unknown`, no second run. The home is started again
-  // under its name; it finds on the log that it had a predecessor, and so trusts no unknown key.
+test('keys of a killed home run nowhere else, even after the home restarts without its state', async () => {
+  // The home is killed (SIGKILL) while endpoints run its holds, and its state is lost. Callers
+  // retry through two other hosts and get `unknown`; no key runs twice. The home restarts under the
+  // same node id, finds in the log that it had a predecessor, and therefore must not run a key that
+  // it does not know.
   const [, home, other, third] = fourNodes();
-  const keys = take(keysOf(home, 'killed'), 6);
+  const keys = takeKeys(keysOf(home, 'killed'), 6);
   const first = keys.map((key) => hold(other, key));
-  await waitFor('the runs', WAIT_MS, async () => {
+  await waitFor('every key to run once', WAIT_MS, async () => {
     const runs = await Promise.all(keys.map(runsOf));
     return runs.every((count) => count === 1);
   });
@@ -126,44 +129,56 @@
     assert.ok(status === 200 || outcome === 'unknown', `status ${status}, ${outcome}`);
   }
   for (const node of [other, third]) {
-    const told = await Promise.all(keys.map((key) => hold(node, key)));
-    assert.ok(told.every(({ outcome }) => outcome === 'unknown'));
+    const results = await Promise.all(keys.map((key) => hold(node, key)));
+    assert.ok(results.every(({ outcome }) => outcome === 'unknown'));
   }
   await platform.startNode(home);
-  const reborn = new AdminClient(`127.0.0.1:${home.adminPort}`);
-  await waitFor('the home', WAIT_MS, async () => (await reborn.status()).state === 'ready');
+  const restartedClient = new AdminClient(`127.0.0.1:${home.adminPort}`);
+  await waitFor(
+    'the home to be ready',
+    WAIT_MS,
+    async () => (await restartedClient.status()).state === 'ready',
+  );
   for (const node of [home, other]) {
-    const told = await Promise.all(keys.map((key) => hold(node, key)));
-    assert.ok(told.every(({ outcome }) => outcome === 'unknown'));
+    const results = await Promise.all(keys.map((key) => hold(node, key)));
+    assert.ok(results.every(({ outcome }) => outcome === 'unknown'));
   }
   for (const key of keys) assert.equal(await runsOf(key), 1);
 });
 
-test('a home that was shut down and started again still knows its keys, and takes new ones', async () => {
-  // Entry hosts are replaced all the time. The one that goes hands its keys to peers, and its
-  // successor takes them back: a repeat is told that the key ran, and new keys run at once.
+test('a home that is shut down and restarted still knows its keys and accepts new ones', async () => {
+  // Entry hosts are replaced regularly. A node that shuts down hands its keys to peers, and its
+  // successor fetches them: a retry gets the outcome `ran`, and new keys run.
   const [other, , home] = fourNodes();
   const keys = keysOf(home, 'handed');
-  const known = take(keys, 4);
-  const told = await Promise.all(known.map((key) => hold(other, key)));
-  assert.ok(told.every(({ status }) => status === 200));
+  const knownKeys = takeKeys(keys, 4);
+  const results = await Promise.all(knownKeys.map((key) => hold(other, key)));
+  assert.ok(results.every(({ status }) => status === 200));
   assert.equal(await platform.launcher.stop(home.child), 0);
   await platform.startNode(home);
-  const back = new AdminClient(`127.0.0.1:${home.adminPort}`);
-  await waitFor('the home', WAIT_MS, async () => (await back.status()).state === 'ready');
-  const [fresh = ''] = take(keys, 1);
-  await waitFor('a new key to run', WAIT_MS, async () => (await hold(other, fresh)).status === 200);
-  for (const { outcome } of await Promise.all(known.map((key) => hold(other, key)))) {
+  const restartedClient = new AdminClient(`127.0.0.1:${home.adminPort}`);
+  await waitFor(
+    'the home to be ready',
+    WAIT_MS,
+    async () => (await restartedClient.status()).state === 'ready',
+  );
+  const [newKey = ''] = takeKeys(keys, 1);
+  await waitFor(
+    'a new key to run',
+    WAIT_MS,
+    async () => (await hold(other, newKey)).status === 200,
+  );
+  for (const { outcome } of await Promise.all(knownKeys.map((key) => hold(other, key)))) {
     assert.equal(outcome, 'ran');
   }
-  for (const key of [...known, fresh]) assert.equal(await runsOf(key), 1);
+  for (const key of [...knownKeys, newKey]) assert.equal(await runsOf(key), 1);
 });
 
-/** Sends one request after another on one connection, until its host says `close`. */
-async function keepSending(port: number, agent: http.Agent, done: Told[]): Promise<void> {
+/** Sends requests one at a time on one connection until an answer has `connection: close`. */
+async function keepSending(port: number, agent: http.Agent, done: HoldResult[]): Promise<void> {
   for (let closing = false; !closing;) {
-    const { told, last } = await new Promise<{ told: Told; last: boolean }>((resolve) => {
-      const lost = { told: { status: undefined, outcome: undefined, body: '' }, last: true };
+    const { result, last } = await new Promise<{ result: HoldResult; last: boolean }>((resolve) => {
+      const lost = { result: { status: undefined, outcome: undefined, body: '' }, last: true };
       const options = { port, agent, path: '/booking/hold', method: 'POST' };
       const req = http.request(options, (res) => {
         let body = '';
@@ -173,7 +188,7 @@
         res.on('error', () => resolve(lost));
         res.on('end', () => {
           resolve({
-            told: { status: res.statusCode, outcome: undefined, body },
+            result: { status: res.statusCode, outcome: undefined, body },
             last: res.headers.connection === 'close',
           });
         });
@@ -181,28 +196,30 @@
       req.on('error', () => resolve(lost));
       req.end('x');
     });
-    done.push(told);
+    done.push(result);
     closing = last;
   }
 }
 
-test('SIGTERM under load cuts off no request, and the node exits with 0', async () => {
-  // Callers with connections that are kept open send holds without a pause. The node gets
-  // SIGTERM: each request on its way is answered whole, the last one on each connection says
-  // `close`, and then the node ends.
+test('SIGTERM under load interrupts no request, and the node exits with 0', async () => {
+  // Callers with keep-alive connections send holds without a pause while the node gets SIGTERM.
+  // Each request in flight must be answered completely, the last answer on each connection must
+  // have `connection: close`, and then the node must exit.
   const [, , , node] = fourNodes();
   const callers = Array.from({ length: 8 }, () => {
-    const done: Told[] = [];
+    const done: HoldResult[] = [];
     const agent = new http.Agent({ keepAlive: true, maxSockets: 1 });
     return { done, agent, ended: keepSending(node.callerPort, agent, done) };
   });
-  await waitFor('the load', WAIT_MS, () => callers.every(({ done }) => done.length >= 3));
+  await waitFor('three answers on each connection', WAIT_MS, () =>
+    callers.every(({ done }) => done.length >= 3),
+  );
   const code = await platform.launcher.stop(node.child);
   await Promise.all(callers.map(({ ended }) => ended));
   callers.forEach(({ agent }) => agent.destroy());
-  const told = callers.flatMap(({ done }) => done);
+  const results = callers.flatMap(({ done }) => done);
   assert.deepEqual(
-    told.filter(({ status }) => status !== 200),
+    results.filter(({ status }) => status !== 200),
     [],
   );
   assert.equal(code, 0);
--- a/packages/standins/src/test/listeners_test.ts
+++ b/packages/standins/src/test/listeners_test.ts
@@ -3,7 +3,7 @@
 import { after, before, test } from 'node:test';
 import { DEMO_PEER_KEY, DemoPlatform } from '../index.js';
 
-const SILENCE_LIMIT_MS = 25_000;
+const CLOSE_TIMEOUT_MS = 25_000;
 const OVERSIZED_HEADER = 'x'.repeat(20 * 1024);
 
 const platform = new DemoPlatform({
@@ -24,11 +24,11 @@
 
 interface Exchange {
   readonly answer: string;
-  /** Whether the listener closed the connection in time. */
+  /** Whether the listener closed the connection before the timeout. */
   readonly closed: boolean;
 }
 
-/** Writes bytes as they are, and reads until the listener closes or time is up. */
+/** Writes raw bytes, and reads until the listener closes the connection or 25 s have passed. */
 function exchange(port: number, parts: readonly (string | Buffer)[]): Promise<Exchange> {
   return new Promise((resolve) => {
     const socket = connect(port, '127.0.0.1');
@@ -36,7 +36,7 @@
     const timer = setTimeout(() => {
       resolve({ answer, closed: false });
       socket.destroy();
-    }, SILENCE_LIMIT_MS);
+    }, CLOSE_TIMEOUT_MS);
     socket.on('data', (chunk) => {
       answer += chunk.toString('latin1');
     });
@@ -52,16 +52,17 @@
 const statusesIn = (answer: string): string[] =>
   [...answer.matchAll(/HTTP\/1\.1 (\d{3})/g)].map(([, status = '']) => status);
 
-// With the key, so that no listener turns the request away before it has looked at the framing.
+// Carries the peer key, so that no listener refuses the request before it checks the framing.
 const HEAD = ['POST /hello HTTP/1.1', 'host: x', `authorization: Bearer ${DEMO_PEER_KEY}`];
 
 const request = (...lines: string[]): string => [...HEAD, ...lines].join('\r\n');
 
-// What a proxy before us and we ourselves could read in two ways is refused, never guessed at: the
-// part that one of them takes for a second request would be run in another caller's name.
-const AMBIGUOUS: [string, string][] = [
+// Requests that a proxy and the listener behind it could frame differently must be refused: the
+// bytes that only one of them reads as a second request would run in another caller's name
+// (request smuggling).
+const MALFORMED_REQUESTS: [string, string][] = [
   [
-    'length and chunks',
+    'a request with both a length and chunks',
     request(
       'content-length: 4',
       'transfer-encoding: chunked',
@@ -69,18 +70,18 @@
       '0\r\n\r\nGET / HTTP/1.1\r\n\r\n',
     ),
   ],
-  ['two lengths', request('content-length: 1', 'content-length: 2', '', 'ab')],
-  ['a length that is no number', request('content-length: +1', '', 'a')],
-  ['a chunk size that is no number', request('transfer-encoding: chunked', '', 'zz\r\na\r\n')],
-  ['a space before the colon', request('content-length : 1', '', 'a')],
-  ['no HTTP at all', 'hello there\r\n\r\n'],
+  ['a request with two lengths', request('content-length: 1', 'content-length: 2', '', 'ab')],
+  ['a length that is not a number', request('content-length: +1', '', 'a')],
+  ['a chunk size that is not a number', request('transfer-encoding: chunked', '', 'zz\r\na\r\n')],
+  ['a header name with a space before the colon', request('content-length : 1', '', 'a')],
+  ['input that is not HTTP', 'hello there\r\n\r\n'],
 ];
 
 for (const listener of LISTENERS) {
   const port = (): number => platform.nodes[0]?.[listener] ?? 0;
 
-  for (const [what, text] of AMBIGUOUS) {
-    test(`${listener}: ${what} is refused and the connection closed`, async () => {
+  for (const [description, text] of MALFORMED_REQUESTS) {
+    test(`${listener}: ${description} is refused and the connection closed`, async () => {
       const { answer, closed } = await exchange(port(), [text]);
       assert.ok(closed);
       assert.deepEqual(statusesIn(answer), ['400']);
@@ -95,16 +96,16 @@
     assert.deepEqual(statusesIn(answer), ['431']);
   });
 
-  test(`${listener}: a sender that never ends its headers is cut off`, async () => {
+  test(`${listener}: incomplete headers time out with 408 and the connection is closed`, async () => {
     const { answer, closed } = await exchange(port(), [request('x-slow: ')]);
     assert.ok(closed);
     assert.deepEqual(statusesIn(answer), ['408']);
   });
 }
 
-// The sender keeps back the end of what it announced: a listener that waited for it would end
-// with a timeout (408). The answer itself may be lost when the connection is reset under a sender.
-test('an oversized body is refused by each listener without being read to its end', async () => {
+// The sender announces 8 MiB and sends only 5 MiB: a listener that waited for the rest would time
+// out with 408. The answer may be lost because the connection is reset while the sender writes.
+test('every listener refuses an oversized body without reading all of it', async () => {
   const oversized = 8 * 1024 * 1024;
   const chunk = Buffer.alloc(256 * 1024, 'a');
   for (const listener of LISTENERS) {
--- a/packages/standins/src/test/manifest-in-force_test.ts
+++ b/packages/standins/src/test/manifest-in-force_test.ts
@@ -29,7 +29,7 @@
   await new HttpPlatformLog(platform.logUrl, WAIT_MS).append(MANIFEST_STREAM, record);
 }
 
-/** What every node says, once all have the same number of rejections. */
+/** Waits until every node has `count` rejections, asserts that they agree, and returns them. */
 async function agreedRejections(count: number): Promise<string[]> {
   let reasons: string[][] = [];
   await waitFor(`${count} rejections on every node`, WAIT_MS, async () => {
@@ -42,21 +42,21 @@
   return first;
 }
 
-test('of two operators who race one wins, and every node says so alike', async () => {
-  // Both replace version 1. Both appends succeed; the second in log order is rejected by every
-  // node, and its operator is told that it lost. An invalid one and a replayed old one follow:
-  // neither changes what is in force, and both show up with their reason.
-  const racers = [await demoManifest(2, 1), await demoManifest(3, 1)];
-  const results = await Promise.allSettled(racers.map((m) => publishTo(platform, m)));
-  const lost = results.filter((result) => result.status === 'rejected');
-  assert.equal(lost.length, 1);
-  assert.ok(lost[0]?.reason instanceof CodedError);
-  assert.equal(lost[0].reason.result.name, 'manifest-conflict');
+test('of two concurrent manifests one takes effect, and all nodes report the same rejections', async () => {
+  // Both manifests replace version 1, and both appends succeed. Every node rejects the second in
+  // log order, and its operator gets a conflict error. Two invalid manifests and a replayed old one
+  // follow: they do not change the manifest in force, and each is reported with its reason.
+  const manifests = [await demoManifest(2, 1), await demoManifest(3, 1)];
+  const results = await Promise.allSettled(manifests.map((m) => publishTo(platform, m)));
+  const rejected = results.filter((result) => result.status === 'rejected');
+  assert.equal(rejected.length, 1);
+  assert.ok(rejected[0]?.reason instanceof CodedError);
+  assert.equal(rejected[0].reason.result.name, 'manifest-conflict');
   version = results[0]?.status === 'fulfilled' ? 2 : 3;
   const next = await demoManifest(version + 1, version);
-  const moved = next.jobs.map((job) => ({ ...job, dataCentre: 'dc2' }));
+  const movedJobs = next.jobs.map((job) => ({ ...job, dataCentre: 'dc2' }));
   await append({ type: 'manifest', id: 'bad', manifest: { ...next, teams: 7 } });
-  await append({ type: 'manifest', id: 'moves-a-job', manifest: { ...next, jobs: moved } });
+  await append({ type: 'manifest', id: 'moves-a-job', manifest: { ...next, jobs: movedJobs } });
   await append({ type: 'manifest', id: 'old', manifest: await demoManifest(1, 0) });
   const reasons = await agreedRejections(4);
   assert.deepEqual(reasons.slice(1), ['bad invalid', 'moves-a-job invalid', 'old conflict']);
@@ -70,15 +70,19 @@
   node.child.process.kill('SIGKILL');
   await platform.setFaults(platform.logFaultUrl, faults);
   await platform.startNode(node);
-  await waitFor('a node on its peers alone', WAIT_MS, async () => {
+  await waitFor('the node to be ready with the manifest of its peers', WAIT_MS, async () => {
     const status = await clientOf(node).status();
     return status.state === 'ready' && status.manifestSource === 'peer';
   });
   const status = await clientOf(node).status();
   assert.equal(status.manifestVersion, version);
-  await waitFor('a check through it', WAIT_MS, async () => (await check(platform, node)) === 200);
+  await waitFor(
+    'a check through the node to succeed',
+    WAIT_MS,
+    async () => (await check(platform, node)) === 200,
+  );
   await platform.setFaults(platform.logFaultUrl, {});
-  await waitFor('the log again', WAIT_MS, async () => {
+  await waitFor('the node to read the manifest from the log', WAIT_MS, async () => {
     const { manifestSource } = await clientOf(node).status();
     return manifestSource === 'log';
   });
@@ -87,14 +91,14 @@
   await publishTo(platform, await demoManifest(version));
 }
 
-test('a node that starts while the log refuses serves on what its peers know', async () => {
-  // A host is replaced in the middle of an outage. Without its peers' state the new node would
-  // have no manifest and no routes until the log is back; the balancer's callers would get 503s.
-  // It says where its manifest came from, and reads on from there once the log answers.
+test('a node that starts while the log refuses requests serves with the state of its peers', async () => {
+  // A node is replaced during an outage of the log. Without its peers' state the new node would
+  // have no manifest and no routes until the log recovers, and callers would get status 503. The
+  // node reports the source of its manifest, and continues from there once the log answers.
   await restartDuring({ refuse: true });
 });
 
-test('a node that starts while the log is silent serves on what its peers know', async () => {
-  // As before, but the log accepts connections and never answers: every read has to be given up.
+test('a node that starts while the log is silent serves with the state of its peers', async () => {
+  // As above, but the log accepts connections and never answers, so every read times out.
   await restartDuring({ freeze: true });
 });
--- a/packages/standins/src/test/one-place_test.ts
+++ b/packages/standins/src/test/one-place_test.ts
@@ -9,12 +9,12 @@
 import { WAIT_MS, clientOf, clientsOf, demoManifest, publishTo } from './running-platform.js';
 
 const LEASE_MS = 2_000;
-const STALE_MS = 3_000;
+const MAX_STALENESS_MS = 3_000;
 const JOB_MS = 6_000;
-const TASKS = 4;
+const TASK_COUNT = 4;
 
-/** Longer than any lease that was renewed before it could still last. */
-const OUTAGE_MS = STALE_MS + 2 * LEASE_MS;
+/** Longer than the remaining time of any lease that was renewed before the outage. */
+const OUTAGE_MS = MAX_STALENESS_MS + 2 * LEASE_MS;
 
 const platform = new DemoPlatform({
   dataCentres: ['dc1'],
@@ -26,7 +26,7 @@
   serviceMs: 5,
   nodeFlags: [
     '--stale-ms',
-    String(STALE_MS),
+    String(MAX_STALENESS_MS),
     '--hello-ms',
     '200',
     '--peer-silence-ms',
@@ -64,7 +64,7 @@
   readonly attempt: number;
 }
 
-/** The tasks of a job, as a node that runs sees them. */
+/** Returns the tasks of a job or service from the view of a node that is running. */
 async function tasksOf(job: string): Promise<Task[]> {
   const node = platform.nodes.find(({ child }) => child.process.exitCode === null);
   assert.ok(node);
@@ -74,7 +74,7 @@
 }
 
 async function startJob(name: string): Promise<void> {
-  const job = (await demoManifest()).jobs.map((j) => ({ ...j, name, tasks: TASKS }));
+  const job = (await demoManifest()).jobs.map((j) => ({ ...j, name, tasks: TASK_COUNT }));
   const { version } = manifest;
   manifest = {
     ...manifest,
@@ -87,9 +87,9 @@
 
 async function allRunning(job: string): Promise<Task[]> {
   let tasks: Task[] = [];
-  await waitFor(`the tasks of ${job}`, WAIT_MS, async () => {
+  await waitFor(`the tasks of ${job} to run`, WAIT_MS, async () => {
     tasks = await tasksOf(job);
-    return tasks.filter(({ state }) => state === 'running').length === TASKS;
+    return tasks.filter(({ state }) => state === 'running').length === TASK_COUNT;
   });
   return tasks;
 }
@@ -102,28 +102,34 @@
   return (await Promise.all(perHost)).flat();
 }
 
-/** What must hold after each failure: all done, and no task was executed twice at a time. */
+/**
+ * Waits until all tasks of the job are completed, and asserts that no two executions of a task
+ * overlapped and that each task completed once. Returns the executions of the job.
+ */
 async function checkJob(job: string): Promise<Execution[]> {
-  await waitFor(`the end of ${job}`, 2 * WAIT_MS, async () => {
+  await waitFor(`the tasks of ${job} to complete`, 2 * WAIT_MS, async () => {
     const tasks = await tasksOf(job);
-    return tasks.filter(({ outcome }) => outcome === 'completed').length === TASKS;
+    return tasks.filter(({ outcome }) => outcome === 'completed').length === TASK_COUNT;
   });
   const executions = await history();
   for (const taskId of new Set(executions.map((run) => run.taskId))) {
-    const sorted = executions
+    const ordered = executions
       .filter((run) => run.taskId === taskId)
       .sort((a, b) => a.startedAt - b.startedAt);
-    sorted.slice(1).forEach((run, i) => {
-      const { endedAt = Infinity, attempt } = sorted[i] as Execution;
-      const text = `${taskId}: attempt ${run.attempt} began before ${attempt} ended`;
+    ordered.slice(1).forEach((run, i) => {
+      const { endedAt = Infinity, attempt } = ordered[i] as Execution;
+      const text = `${taskId}: attempt ${run.attempt} started before attempt ${attempt} ended`;
       assert.ok(run.startedAt >= endedAt, text);
-      assert.ok(run.attempt > attempt, `${taskId}: attempt ${run.attempt} ran after ${attempt}`);
+      assert.ok(
+        run.attempt > attempt,
+        `${taskId}: attempt ${run.attempt} ran after attempt ${attempt}`,
+      );
     });
   }
-  const ours = executions.filter(({ taskId }) => taskId.startsWith(`dc1/${job}/`));
-  const completed = ours.filter(({ outcome }) => outcome === 'completed');
-  assert.equal(completed.length, TASKS, `${job}: each task is completed once`);
-  return ours;
+  const jobExecutions = executions.filter(({ taskId }) => taskId.startsWith(`dc1/${job}/`));
+  const completed = jobExecutions.filter(({ outcome }) => outcome === 'completed');
+  assert.equal(completed.length, TASK_COUNT, `${job}: each task must complete once`);
+  return jobExecutions;
 }
 
 async function holder(): Promise<DemoNode> {
@@ -148,17 +154,17 @@
   await platform.setFaults(`http://127.0.0.1:${faultPort}`, faults);
 }
 
-test('a holder that is frozen while it moves work moves nothing twice', async () => {
-  // A host is leaving, so the holder revokes the tasks on it; then it is frozen. Another node
-  // claims the data centre and moves them. The first one wakes up, believing that it still holds
-  // the term, and goes on with what it had in hand. Its appends must be void, and what it still
-  // tells workers must start nothing that has moved.
+test('when a holder is frozen while it moves tasks, no task runs twice at the same time', async () => {
+  // A host is leaving, so the holder of the term revokes the tasks on it and is then frozen. Another
+  // node claims the next term and moves the tasks. After SIGCONT the first node still believes that
+  // it holds the term and continues its current pass. Its appends must be voided (rejected by the
+  // fold), and its requests to workers must not start a task that has moved.
   await startJob('frozen');
   const [task] = await allRunning('frozen');
   const worker = workerOf(task?.hostId);
   const node = await holder();
   await platform.listHost(worker, 'leaving');
-  await waitFor('a revocation', WAIT_MS, async () =>
+  await waitFor('a task to be revoked', WAIT_MS, async () =>
     (await tasksOf('frozen')).some(({ state, attempt }) => state === 'revoked' || attempt > 1),
   );
   node.child.process.kill('SIGSTOP');
@@ -166,8 +172,8 @@
   node.child.process.kill('SIGCONT');
   const runs = await checkJob('frozen');
   assert.ok(runs.some(({ attempt }) => attempt === 2));
-  // Where the frozen node looked after the host, the lease may lapse before anybody takes a
-  // checkpoint; one that was stopped goes on exactly where it was.
+  // If the frozen node renewed the host's leases, a lease may expire before any node takes a
+  // checkpoint. A task that was stopped must resume from its last checkpoint.
   for (const ended of runs.filter(({ outcome }) => outcome === 'stopped')) {
     const next = runs.find((r) => r.taskId === ended.taskId && r.attempt === ended.attempt + 1);
     assert.notEqual(ended.leftCheckpoint, undefined);
@@ -176,9 +182,10 @@
   await platform.listHost(worker, 'live');
 });
 
-test('a holder killed while it binds, with the answers of the log lost, binds nothing twice', async () => {
-  // The log takes the holder's records but its answers are lost; the holder does not know what
-  // stands there, and is killed. Its successor folds the same records: what was bound is bound.
+test('when a holder is killed while the log drops its answers, no task runs twice at the same time', async () => {
+  // The log appends the holder's records but drops its answers, so the holder does not know which
+  // records were appended, and is killed. Its successor folds the same records and must not bind a
+  // bound task again.
   const node = await holder();
   await platform.setFaults(platform.logFaultUrl, { dropAnswers: 4 });
   const published = startJob('killed').catch(() => undefined);
@@ -188,18 +195,19 @@
   await platform.setFaults(platform.logFaultUrl, {});
   await sleep(LEASE_MS);
   await platform.startNode(node);
-  await waitFor('the manifest', WAIT_MS, async () => {
+  await waitFor('all nodes to report the manifest', WAIT_MS, async () => {
     const statuses = await Promise.all(clientsOf(platform).map((client) => client.status()));
     return statuses.every(({ manifestVersion }) => manifestVersion === manifest.version);
   });
   await checkJob('killed');
 });
 
-test('a worker that nobody reaches loses its tasks only once their leases are over', async () => {
-  // The worker answers nobody, but goes on running its tasks; the platform's list shows at once
-  // that its host is leaving, so they are revoked while their leases are young. Nothing tells the
-  // scheduler when they end. It binds them elsewhere only after every node has promised to renew
-  // them no more and a lease has passed; were it to bind them at once, each would run twice.
+test('tasks of an unreachable worker start elsewhere only after their leases have expired', async () => {
+  // The worker answers no requests but keeps running its tasks. The host list marks its host as
+  // leaving, so the tasks are revoked soon after their leases were renewed, and the scheduler
+  // receives no report of their end. The scheduler may bind them elsewhere only after every node has
+  // acknowledged that it no longer renews them and a lease duration has passed; if it bound them
+  // immediately, each task would run twice at the same time.
   await startJob('silent');
   const [task] = await allRunning('silent');
   const worker = workerOf(task?.hostId);
@@ -212,25 +220,28 @@
   await platform.listHost(worker, 'live');
 });
 
-test('the log is down for longer than a lease while a worker dies', async () => {
-  // Nothing can be decided while the log is down. Nodes go on renewing until they have not read
-  // it for too long; then batch tasks lapse. A worker that died meanwhile has forgotten its own.
-  // Once the log is back each task is bound once more, and services were kept all the time.
+test('services keep running and each batch task completes once after a log outage and a worker restart', async () => {
+  // No decision can be written while the log is down. Nodes keep renewing leases until their last
+  // read of the log is too old; then the leases of batch tasks expire. A worker that restarts during
+  // the outage has lost its tasks. When the log recovers, each lost task must be bound again and
+  // complete once. Services on the other hosts must keep running throughout the outage.
   await startJob('outage');
   const [task] = await allRunning('outage');
   const services = await tasksOf('booking');
   await platform.setFaults(platform.logFaultUrl, { refuse: true });
-  const victim = workerOf(task?.hostId);
-  await fetch(`http://127.0.0.1:${victim.faultPort}/restart`, { method: 'POST' });
+  const restartedWorker = workerOf(task?.hostId);
+  await fetch(`http://127.0.0.1:${restartedWorker.faultPort}/restart`, { method: 'POST' });
   await sleep(OUTAGE_MS);
   const kept = (await history()).filter(
     ({ taskId, hostId, endedAt }) =>
-      hostId !== victim.hostId &&
+      hostId !== restartedWorker.hostId &&
       endedAt === undefined &&
       services.some((s) => s.taskId === taskId && s.state === 'running'),
   );
-  const expected = services.filter((s) => s.state === 'running' && s.hostId !== victim.hostId);
-  assert.equal(kept.length, expected.length, 'services are renewed without the log');
+  const expected = services.filter(
+    (s) => s.state === 'running' && s.hostId !== restartedWorker.hostId,
+  );
+  assert.equal(kept.length, expected.length, 'leases of services must be renewed without the log');
   await platform.setFaults(platform.logFaultUrl, {});
   await checkJob('outage');
 });
--- a/packages/standins/src/test/readme-tour_test.ts
+++ b/packages/standins/src/test/readme-tour_test.ts
@@ -8,21 +8,21 @@
 
 const ROOT = fileURLToPath(new URL('../../../../', import.meta.url));
 const DEMO = fileURLToPath(new URL('../demo-main.js', import.meta.url));
-const EXPORTS = 4;
+const EXPORT_COUNT = 4;
 
-/** Starts the demo that stays, and returns the variables that it prints for pasting. */
+/** Starts the demo with --stay and returns the environment variables from its `export` lines. */
 async function startDemo() {
   const child = spawn(process.execPath, [DEMO, '--stay'], { stdio: ['ignore', 'pipe', 'inherit'] });
   const env: Record<string, string> = {};
   for await (const line of createInterface({ input: child.stdout })) {
     const [, name, value] = /^export (\w+)=(.*)$/.exec(line) ?? [];
     if (name !== undefined && value !== undefined) env[name] = value;
-    if (Object.keys(env).length === EXPORTS) break;
+    if (Object.keys(env).length === EXPORT_COUNT) break;
   }
   return { child, env };
 }
 
-test('the tour of README.md runs as written', async () => {
+test('the commands of the tour in README.md succeed with the documented output', async () => {
   const readme = await readFile(`${ROOT}README.md`, 'utf8');
   const [, tour] = /```sh tour\n([^`]*)```/.exec(readme) ?? [];
   assert.ok(tour);
--- a/packages/standins/src/test/thin-path_test.ts
+++ b/packages/standins/src/test/thin-path_test.ts
@@ -3,7 +3,7 @@
 import type { DemoPlatform } from '../index.js';
 import { runningPlatform } from './running-platform.js';
 
-const REQUESTS = 60;
+const REQUEST_COUNT = 60;
 
 let platform: DemoPlatform;
 
@@ -33,26 +33,27 @@
   }
 }
 
-test('a killed entry host takes no answer with it, and the other one still serves', async () => {
-  // Callers send through two entry hosts of one data centre; one is killed meanwhile.
-  // Callers of the killed one see a lost connection, never a wrong or partial answer; callers of
-  // the other see nothing at all, since entry hosts share no state that a request needs.
-  const early = await check(0, 0);
-  const sends = Array.from({ length: REQUESTS }, (_, i) => check(i % 2, i));
+test('killing an entry host corrupts no answer and does not affect the other entry host', async () => {
+  // Callers send requests through two entry hosts of a data centre, and one host is killed while
+  // requests are in flight. Callers of the killed host may see a lost connection, but no wrong or
+  // partial answer. Callers of the other host see no failure, because entry hosts share no state
+  // that a request needs.
+  const earlyAnswer = await check(0, 0);
+  const sends = Array.from({ length: REQUEST_COUNT }, (_, i) => check(i % 2, i));
   const [victim] = platform.nodes;
   assert.ok(victim);
   victim.child.process.kill('SIGKILL');
   const answers = await Promise.all(sends);
-  assert.equal(early.status, 200);
+  assert.equal(earlyAnswer.status, 200);
   for (const { status, path, body } of answers) {
     if (status !== undefined) assert.equal((JSON.parse(body) as { path: string }).path, path);
   }
   const survivors = answers.filter((_, i) => i % 2 === 1);
   assert.ok(survivors.every((answer) => answer.status === 200));
-  assert.equal((await check(1, REQUESTS)).status, 200);
+  assert.equal((await check(1, REQUEST_COUNT)).status, 200);
 });
 
-test('a request to no service is refused as not run, with its code', async () => {
+test('a request to an unknown service gets 404, code 301 and the outcome not-run', async () => {
   const [, node] = platform.nodes;
   assert.ok(node);
   const res = await fetch(`${platform.callerUrl(node)}/nowhere`);
