--- a/packages/standins/src/demo-main.ts
+++ b/packages/standins/src/demo-main.ts
@@ -106,8 +106,8 @@
   });
 
   print('\nPlacement:');
-  const placed = new Map((await tasks()).map((task) => [task.taskId, task]));
-  out.rows(['taskId', 'attempt', 'state', 'hostId', 'endpoint'], [...placed.values()]);
+  const tasksById = new Map((await tasks()).map((task) => [task.taskId, task]));
+  out.rows(['taskId', 'attempt', 'state', 'hostId', 'endpoint'], [...tasksById.values()]);
 
   const [first, second] = platform.nodes;
   if (!first || !second) throw new Error('the demo needs two nodes');
--- a/packages/standins/src/fake-worker.ts
+++ b/packages/standins/src/fake-worker.ts
@@ -23,7 +23,8 @@
   readonly usageLagMs: number;
 }
 
-interface Running {
+/** State of an attempt that was started on this worker; kept after the attempt ends. */
+interface AttemptEntry {
   readonly message: StartMessage;
   state: WorkerTaskState;
   endpoint?: FakeEndpoint;
@@ -62,7 +63,7 @@
 
   readonly #incarnation = randomUUID();
 
-  readonly #attempts = new Map<string, Running>();
+  readonly #attempts = new Map<string, AttemptEntry>();
 
   /** Attempts whose stop request arrived before their start request; they never start. */
   readonly #tombstones = new Map<string, TaskReport>();
@@ -110,7 +111,7 @@
 
   /** Stops all attempts, as the failure of the host would. */
   kill(): void {
-    for (const running of this.#attempts.values()) this.#end(running, 'stopped');
+    for (const entry of this.#attempts.values()) this.#end(entry, 'stopped');
   }
 
   /** Makes every endpoint of this worker slow or silent. */
@@ -142,7 +143,7 @@
 
   #usage(): WorkerReport['usage'] {
     return [...this.#attempts.values()]
-      .filter((running) => running.state === 'running')
+      .filter((entry) => entry.state === 'running')
       .map(({ message }) => ({
         taskId: message.taskId,
         attempt: message.attempt,
@@ -155,10 +156,10 @@
   async #start(message: StartMessage): Promise<void> {
     const key = keyOf(message);
     if (this.#tombstones.has(key)) return;
-    const known = this.#attempts.get(key);
-    if (known) {
+    const existing = this.#attempts.get(key);
+    if (existing) {
       if (message.incarnation === this.#incarnation) {
-        this.#extend(known, message.heartbeat, message.leaseMs);
+        this.#extend(existing, message.heartbeat, message.leaseMs);
       }
       return;
     }
@@ -168,25 +169,25 @@
     if (message.incarnation !== this.#incarnation || leaseEnd <= performance.now()) return;
     const savedMs = progressOf(message.checkpoint);
     const startedAt = performance.now();
-    const running: Running = { message, state: 'running', leaseEnd, savedMs, startedAt };
-    this.#attempts.set(key, running);
+    const entry: AttemptEntry = { message, state: 'running', leaseEnd, savedMs, startedAt };
+    this.#attempts.set(key, entry);
     this.#record(message, savedMs);
-    this.#extend(running, message.heartbeat, message.leaseMs);
-    if (message.kind === 'service') await this.#openEndpoint(running);
-    else this.#runJob(running);
+    this.#extend(entry, message.heartbeat, message.leaseMs);
+    if (message.kind === 'service') await this.#openEndpoint(entry);
+    else this.#runJob(entry);
   }
 
-  async #openEndpoint(running: Running): Promise<void> {
+  async #openEndpoint(entry: AttemptEntry): Promise<void> {
     const { ip, serviceMs } = this.#options;
-    const { slots = 8, connections = 64 } = running.message;
+    const { slots = 8, connections = 64 } = entry.message;
     const endpoint = new FakeEndpoint({ ip, slots, connections, serviceMs });
-    Object.assign(running, { endpoint, address: await endpoint.listen() });
+    Object.assign(entry, { endpoint, address: await endpoint.listen() });
   }
 
-  #runJob(running: Running): void {
-    const remainingMs = Math.max(0, this.#options.jobMs - running.savedMs);
-    const timer = setTimeout(() => this.#end(running, 'completed'), remainingMs);
-    Object.assign(running, { jobTimer: timer });
+  #runJob(entry: AttemptEntry): void {
+    const remainingMs = Math.max(0, this.#options.jobMs - entry.savedMs);
+    const timer = setTimeout(() => this.#end(entry, 'completed'), remainingMs);
+    Object.assign(entry, { jobTimer: timer });
   }
 
   #record({ taskId, attempt, checkpoint }: StartMessage, resumedMs: number): void {
@@ -199,8 +200,8 @@
   #renew(message: RenewMessage): void {
     if (message.incarnation !== this.#incarnation) return;
     for (const ref of message.attempts) {
-      const running = this.#attempts.get(keyOf(ref));
-      if (running) this.#extend(running, message.heartbeat, message.leaseMs);
+      const entry = this.#attempts.get(keyOf(ref));
+      if (entry) this.#extend(entry, message.heartbeat, message.leaseMs);
     }
   }
 
@@ -208,48 +209,48 @@
    * Extends the lease. The lease counts from the heartbeat, so a delayed message extends it by
    * less or not at all.
    */
-  #extend(running: Running, heartbeat: number, leaseMs: number): void {
-    if (running.state !== 'running') return;
+  #extend(entry: AttemptEntry, heartbeat: number, leaseMs: number): void {
+    if (entry.state !== 'running') return;
     // An older message that arrives after a newer one must not shorten the lease.
-    Object.assign(running, { leaseEnd: Math.max(running.leaseEnd, heartbeat + leaseMs) });
-    const remainingMs = running.leaseEnd - performance.now();
-    clearTimeout(running.leaseTimer);
-    const timer = setTimeout(() => this.#end(running, 'lapsed'), Math.max(0, remainingMs));
-    Object.assign(running, { leaseTimer: timer });
+    Object.assign(entry, { leaseEnd: Math.max(entry.leaseEnd, heartbeat + leaseMs) });
+    const remainingMs = entry.leaseEnd - performance.now();
+    clearTimeout(entry.leaseTimer);
+    const timer = setTimeout(() => this.#end(entry, 'lapsed'), Math.max(0, remainingMs));
+    Object.assign(entry, { leaseTimer: timer });
   }
 
   #stop(message: StopMessage): void {
-    const running = this.#attempts.get(keyOf(message));
+    const entry = this.#attempts.get(keyOf(message));
     const { taskId, attempt } = message;
-    if (running) this.#end(running, 'stopped');
+    if (entry) this.#end(entry, 'stopped');
     else this.#tombstones.set(keyOf(message), { taskId, attempt, state: 'stopped' });
   }
 
   #checkpoint(message: CheckpointMessage): void {
-    const running = this.#attempts.get(keyOf(message));
-    if (running?.state !== 'running') return;
-    const savedMs = workedMs(running);
+    const entry = this.#attempts.get(keyOf(message));
+    if (entry?.state !== 'running') return;
+    const savedMs = workedMs(entry);
     // The stand-in stores no files: the name of a checkpoint encodes the work done.
-    Object.assign(running, { savedMs, checkpoint: `${randomUUID()}@${Math.round(savedMs)}` });
+    Object.assign(entry, { savedMs, checkpoint: `${randomUUID()}@${Math.round(savedMs)}` });
   }
 
-  #end(running: Running, state: WorkerTaskState): void {
-    if (running.state !== 'running') return;
-    const lostMs = workedMs(running) - running.savedMs;
-    Object.assign(running, { state, lostMs: state === 'completed' ? 0 : lostMs });
-    const { taskId, attempt } = running.message;
+  #end(entry: AttemptEntry, state: WorkerTaskState): void {
+    if (entry.state !== 'running') return;
+    const lostMs = workedMs(entry) - entry.savedMs;
+    Object.assign(entry, { state, lostMs: state === 'completed' ? 0 : lostMs });
+    const { taskId, attempt } = entry.message;
     const execution = this.#history.find((e) => e.taskId === taskId && e.attempt === attempt);
-    const leftCheckpoint = running.checkpoint;
+    const leftCheckpoint = entry.checkpoint;
     if (execution)
       Object.assign(execution, { endedAt: Date.now(), outcome: state, leftCheckpoint });
-    clearTimeout(running.leaseTimer);
-    clearTimeout(running.jobTimer);
-    running.endpoint?.close();
+    clearTimeout(entry.leaseTimer);
+    clearTimeout(entry.jobTimer);
+    entry.endpoint?.close();
   }
 }
 
 /** Returns the work done by the attempt and the earlier attempts it resumed, in milliseconds. */
-function workedMs({ message, startedAt }: Running): number {
+function workedMs({ message, startedAt }: AttemptEntry): number {
   return progressOf(message.checkpoint) + performance.now() - startedAt;
 }
 
@@ -257,14 +258,14 @@
   return Number(checkpoint?.split('@')[1] ?? 0);
 }
 
-function reportOf(running: Running): TaskReport {
-  const { taskId, attempt } = running.message;
+function reportOf(entry: AttemptEntry): TaskReport {
+  const { taskId, attempt } = entry.message;
   return {
     taskId,
     attempt,
-    state: running.state,
-    ...(running.address !== undefined && { endpoint: running.address }),
-    ...(running.checkpoint !== undefined && { checkpoint: running.checkpoint }),
-    ...(running.lostMs !== undefined && { lostMs: running.lostMs }),
+    state: entry.state,
+    ...(entry.address !== undefined && { endpoint: entry.address }),
+    ...(entry.checkpoint !== undefined && { checkpoint: entry.checkpoint }),
+    ...(entry.lostMs !== undefined && { lostMs: entry.lostMs }),
   };
 }
