--- a/packages/standins/src/fake-worker.ts
+++ b/packages/standins/src/fake-worker.ts
@@ -15,31 +15,32 @@
 export interface FakeWorkerOptions {
   readonly hostId: string;
   readonly ip: string;
-  /** How long a task of a job runs, in milliseconds. */
+  /** Run time of a job's task, in milliseconds. */
   readonly jobMs: number;
-  /** The service time of an endpoint, in milliseconds. */
+  /** Mean service time of an endpoint, in milliseconds. */
   readonly serviceMs: number;
-  /** How late usage is reported, in milliseconds. */
+  /** Age of reported usage, in milliseconds. */
   readonly usageLagMs: number;
 }
 
-interface Running {
+/** State of an attempt that was started on this worker; kept after the attempt ends. */
+interface AttemptEntry {
   readonly message: StartMessage;
   state: WorkerTaskState;
   endpoint?: FakeEndpoint;
   address?: string;
   checkpoint?: string;
   lostMs?: number;
-  /** On this worker's clock. */
+  /** End of the lease on this worker's monotonic clock, in milliseconds. */
   leaseEnd: number;
-  /** Work done when the newest checkpoint was taken, or when the attempt began. */
+  /** Work done at the newest checkpoint or, without one, at the start of the attempt, in ms. */
   savedMs: number;
   readonly startedAt: number;
   leaseTimer?: NodeJS.Timeout;
   jobTimer?: NodeJS.Timeout;
 }
 
-/** One execution of an attempt, as it was: times are wall-clock milliseconds. */
+/** Record of one execution of an attempt; times are wall-clock milliseconds. */
 export interface Execution {
   readonly taskId: string;
   readonly attempt: number;
@@ -48,23 +49,23 @@
   endedAt?: number;
   outcome?: WorkerTaskState;
   readonly resumedFrom?: string | undefined;
-  /** The work that its checkpoint already held, in milliseconds. */
+  /** Work contained in the checkpoint that the execution resumed from, in milliseconds. */
   readonly resumedMs: number;
-  /** Its newest checkpoint when it ended. */
+  /** The newest checkpoint at the end of the execution. */
   leftCheckpoint?: string | undefined;
 }
 
 const keyOf = (ref: StopMessage): string => `${ref.taskId}#${ref.attempt}`;
 
-/** A worker that knows leases and stop, and nothing of terms or tokens. */
+/** A worker that implements leases and stop requests, but no terms or fencing tokens. */
 export class FakeWorker {
   readonly #options: FakeWorkerOptions;
 
   readonly #incarnation = randomUUID();
 
-  readonly #attempts = new Map<string, Running>();
+  readonly #attempts = new Map<string, AttemptEntry>();
 
-  /** Attempts that were stopped before they came: they never start. */
+  /** Attempts whose stop request arrived before their start request; they never start. */
   readonly #tombstones = new Map<string, TaskReport>();
 
   readonly #history: Execution[] = [];
@@ -108,30 +109,30 @@
     };
   }
 
-  /** Ends everything, as a host that dies does. */
+  /** Stops all attempts, as the failure of the host would. */
   kill(): void {
-    for (const running of this.#attempts.values()) this.#end(running, 'stopped');
+    for (const entry of this.#attempts.values()) this.#end(entry, 'stopped');
   }
 
-  /** Makes every endpoint here slow or silent. */
+  /** Makes every endpoint of this worker slow or silent. */
   degrade(degradation: Degradation): void {
     for (const { endpoint } of this.#attempts.values()) {
       if (endpoint) endpoint.degradation = degradation;
     }
   }
 
-  /** The most connections that any endpoint here had at once. */
+  /** Returns the highest number of simultaneous connections of any endpoint of this worker. */
   maxConnections(): number {
     const counts = [...this.#attempts.values()].map((r) => r.endpoint?.maxConnections ?? 0);
     return Math.max(0, ...counts);
   }
 
-  /** What was executed here, in the order of the starts. */
+  /** Returns the executions on this worker in the order of their starts. */
   history(): readonly Execution[] {
     return this.#history;
   }
 
-  /** How often each request ran on the endpoints here. */
+  /** Returns the number of runs of each request on the endpoints of this worker. */
   runs(): Record<string, number> {
     const total: Record<string, number> = {};
     for (const { endpoint } of this.#attempts.values()) {
@@ -142,7 +143,7 @@
 
   #usage(): WorkerReport['usage'] {
     return [...this.#attempts.values()]
-      .filter((running) => running.state === 'running')
+      .filter((entry) => entry.state === 'running')
       .map(({ message }) => ({
         taskId: message.taskId,
         attempt: message.attempt,
@@ -155,38 +156,38 @@
   async #start(message: StartMessage): Promise<void> {
     const key = keyOf(message);
     if (this.#tombstones.has(key)) return;
-    const known = this.#attempts.get(key);
-    if (known) {
+    const existing = this.#attempts.get(key);
+    if (existing) {
       if (message.incarnation === this.#incarnation) {
-        this.#extend(known, message.heartbeat, message.leaseMs);
+        this.#extend(existing, message.heartbeat, message.leaseMs);
       }
       return;
     }
-    // A start that was under way for longer than its lease, or across a restart, is refused: the
-    // task may long be running elsewhere.
+    // Refuses a start request that was in flight for longer than its lease or across a restart of
+    // this worker: the task may already be running elsewhere.
     const leaseEnd = message.heartbeat + message.leaseMs;
     if (message.incarnation !== this.#incarnation || leaseEnd <= performance.now()) return;
     const savedMs = progressOf(message.checkpoint);
     const startedAt = performance.now();
-    const running: Running = { message, state: 'running', leaseEnd, savedMs, startedAt };
-    this.#attempts.set(key, running);
+    const entry: AttemptEntry = { message, state: 'running', leaseEnd, savedMs, startedAt };
+    this.#attempts.set(key, entry);
     this.#record(message, savedMs);
-    this.#extend(running, message.heartbeat, message.leaseMs);
-    if (message.kind === 'service') await this.#openEndpoint(running);
-    else this.#runJob(running);
+    this.#extend(entry, message.heartbeat, message.leaseMs);
+    if (message.kind === 'service') await this.#openEndpoint(entry);
+    else this.#runJob(entry);
   }
 
-  async #openEndpoint(running: Running): Promise<void> {
+  async #openEndpoint(entry: AttemptEntry): Promise<void> {
     const { ip, serviceMs } = this.#options;
-    const { slots = 8, connections = 64 } = running.message;
+    const { slots = 8, connections = 64 } = entry.message;
     const endpoint = new FakeEndpoint({ ip, slots, connections, serviceMs });
-    Object.assign(running, { endpoint, address: await endpoint.listen() });
+    Object.assign(entry, { endpoint, address: await endpoint.listen() });
   }
 
-  #runJob(running: Running): void {
-    const leftMs = Math.max(0, this.#options.jobMs - running.savedMs);
-    const timer = setTimeout(() => this.#end(running, 'completed'), leftMs);
-    Object.assign(running, { jobTimer: timer });
+  #runJob(entry: AttemptEntry): void {
+    const remainingMs = Math.max(0, this.#options.jobMs - entry.savedMs);
+    const timer = setTimeout(() => this.#end(entry, 'completed'), remainingMs);
+    Object.assign(entry, { jobTimer: timer });
   }
 
   #record({ taskId, attempt, checkpoint }: StartMessage, resumedMs: number): void {
@@ -199,54 +200,57 @@
   #renew(message: RenewMessage): void {
     if (message.incarnation !== this.#incarnation) return;
     for (const ref of message.attempts) {
-      const running = this.#attempts.get(keyOf(ref));
-      if (running) this.#extend(running, message.heartbeat, message.leaseMs);
+      const entry = this.#attempts.get(keyOf(ref));
+      if (entry) this.#extend(entry, message.heartbeat, message.leaseMs);
     }
   }
 
-  /** The lease counts from the heartbeat, so a message that was late extends little or nothing. */
-  #extend(running: Running, heartbeat: number, leaseMs: number): void {
-    if (running.state !== 'running') return;
-    // An older message that overtook a newer one must not shorten the lease.
-    Object.assign(running, { leaseEnd: Math.max(running.leaseEnd, heartbeat + leaseMs) });
-    const left = running.leaseEnd - performance.now();
-    clearTimeout(running.leaseTimer);
-    const timer = setTimeout(() => this.#end(running, 'lapsed'), Math.max(0, left));
-    Object.assign(running, { leaseTimer: timer });
+  /**
+   * Extends the lease. The lease counts from the heartbeat, so a delayed message extends it by
+   * less or not at all.
+   */
+  #extend(entry: AttemptEntry, heartbeat: number, leaseMs: number): void {
+    if (entry.state !== 'running') return;
+    // An older message that arrives after a newer one must not shorten the lease.
+    Object.assign(entry, { leaseEnd: Math.max(entry.leaseEnd, heartbeat + leaseMs) });
+    const remainingMs = entry.leaseEnd - performance.now();
+    clearTimeout(entry.leaseTimer);
+    const timer = setTimeout(() => this.#end(entry, 'lapsed'), Math.max(0, remainingMs));
+    Object.assign(entry, { leaseTimer: timer });
   }
 
   #stop(message: StopMessage): void {
-    const running = this.#attempts.get(keyOf(message));
+    const entry = this.#attempts.get(keyOf(message));
     const { taskId, attempt } = message;
-    if (running) this.#end(running, 'stopped');
+    if (entry) this.#end(entry, 'stopped');
     else this.#tombstones.set(keyOf(message), { taskId, attempt, state: 'stopped' });
   }
 
   #checkpoint(message: CheckpointMessage): void {
-    const running = this.#attempts.get(keyOf(message));
-    if (running?.state !== 'running') return;
-    const savedMs = workedMs(running);
-    // The stand-in keeps no files: what a checkpoint holds stands in its name.
-    Object.assign(running, { savedMs, checkpoint: `${randomUUID()}@${Math.round(savedMs)}` });
+    const entry = this.#attempts.get(keyOf(message));
+    if (entry?.state !== 'running') return;
+    const savedMs = workedMs(entry);
+    // The stand-in stores no files: the name of a checkpoint encodes the work done.
+    Object.assign(entry, { savedMs, checkpoint: `${randomUUID()}@${Math.round(savedMs)}` });
   }
 
-  #end(running: Running, state: WorkerTaskState): void {
-    if (running.state !== 'running') return;
-    const lostMs = workedMs(running) - running.savedMs;
-    Object.assign(running, { state, lostMs: state === 'completed' ? 0 : lostMs });
-    const { taskId, attempt } = running.message;
+  #end(entry: AttemptEntry, state: WorkerTaskState): void {
+    if (entry.state !== 'running') return;
+    const lostMs = workedMs(entry) - entry.savedMs;
+    Object.assign(entry, { state, lostMs: state === 'completed' ? 0 : lostMs });
+    const { taskId, attempt } = entry.message;
     const execution = this.#history.find((e) => e.taskId === taskId && e.attempt === attempt);
-    const leftCheckpoint = running.checkpoint;
+    const leftCheckpoint = entry.checkpoint;
     if (execution)
       Object.assign(execution, { endedAt: Date.now(), outcome: state, leftCheckpoint });
-    clearTimeout(running.leaseTimer);
-    clearTimeout(running.jobTimer);
-    running.endpoint?.close();
+    clearTimeout(entry.leaseTimer);
+    clearTimeout(entry.jobTimer);
+    entry.endpoint?.close();
   }
 }
 
-/** The work that the attempt and those before it have done, in milliseconds. */
-function workedMs({ message, startedAt }: Running): number {
+/** Returns the work done by the attempt and the earlier attempts it resumed, in milliseconds. */
+function workedMs({ message, startedAt }: AttemptEntry): number {
   return progressOf(message.checkpoint) + performance.now() - startedAt;
 }
 
@@ -254,14 +258,14 @@
   return Number(checkpoint?.split('@')[1] ?? 0);
 }
 
-function reportOf(running: Running): TaskReport {
-  const { taskId, attempt } = running.message;
+function reportOf(entry: AttemptEntry): TaskReport {
+  const { taskId, attempt } = entry.message;
   return {
     taskId,
     attempt,
-    state: running.state,
-    ...(running.address !== undefined && { endpoint: running.address }),
-    ...(running.checkpoint !== undefined && { checkpoint: running.checkpoint }),
-    ...(running.lostMs !== undefined && { lostMs: running.lostMs }),
+    state: entry.state,
+    ...(entry.address !== undefined && { endpoint: entry.address }),
+    ...(entry.checkpoint !== undefined && { checkpoint: entry.checkpoint }),
+    ...(entry.lostMs !== undefined && { lostMs: entry.lostMs }),
   };
 }
