--- a/packages/standins/src/platform-main.ts
+++ b/packages/standins/src/platform-main.ts
@@ -7,7 +7,7 @@
 
 const BODY_LIMIT = 16 * 1024 * 1024;
 
-// Each process serves one of the two: `--serve log` or `--serve host-list`.
+// A process serves either the log (`--serve log`) or the host list (`--serve host-list`).
 const args = await yargs(hideBin(process.argv))
   .option('serve', { choices: ['log', 'host-list'] as const, demandOption: true })
   .option('ip', { type: 'string', default: '127.0.0.1' })
